--- a/Source/Programs/Gateway/BackendList.cpp
+++ b/Source/Programs/Gateway/BackendList.cpp
@@ -15,8 +15,8 @@
 
 } // namespace
 
-BackendList::BackendList(BackendBoard &board, EventLog &log, milliseconds readPause)
-    : board_(board), log_(log), graceAfterOutage_(backAfterOutage + readPause + readTime)
+BackendList::BackendList(BackendRegistry &registry, EventLog &log, milliseconds readPause)
+    : registry_(registry), log_(log), graceAfterOutage_(backAfterOutage + readPause + readTime)
 { }
 
 void BackendList::take(const platform::KeyedRecord &record, TimePoint now)
@@ -30,11 +30,11 @@
     if (entry.has_error()) {
         log_.warn("backend.bad_entry",
                   {{"backend", record.key}, {"reason", entry.error().message}});
-        removeBackend(board_, record.key);
+        removeBackend(registry_, record.key);
         return;
     }
-    const auto known = board_.backends.find(record.key);
-    const bool changed = known == board_.backends.end()
+    const auto known = registry_.backends.find(record.key);
+    const bool changed = known == registry_.backends.end()
         || known->second.entry.draining != entry.value().draining
         || known->second.entry.address != entry.value().address
         || known->second.entry.startedAt != entry.value().startedAt;
@@ -48,7 +48,7 @@
                    {"offset", record.offset}});
     }
     entry.value().recordedAt = record.offset;
-    putBackend(board_, entry.value(), now);
+    putBackend(registry_, entry.value(), now);
 }
 
 void BackendList::takeAll(const std::vector<platform::KeyedRecord> &records, TimePoint now)
@@ -59,7 +59,7 @@
         take(record, now);
     }
     std::vector<std::string> gone;
-    for (const auto &[id, state] : board_.backends) {
+    for (const auto &[id, state] : registry_.backends) {
         if (!named.contains(id))
             gone.push_back(id);
     }
@@ -75,14 +75,14 @@
 
 void BackendList::remove(const std::string &id, TimePoint now)
 {
-    if (!board_.backends.contains(id))
+    if (!registry_.backends.contains(id))
         return;
     if (now < graceUntil_) {
         missing_.try_emplace(id, graceUntil_);
         return;
     }
     log_.info("backend.gone", {{"backend", id}});
-    removeBackend(board_, id);
+    removeBackend(registry_, id);
 }
 
 void BackendList::checkTime(TimePoint now)
--- a/Source/Programs/Gateway/BackendList.h
+++ b/Source/Programs/Gateway/BackendList.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "Process/EventLog.h"
-#include "Request/BackendBoard.h"
+#include "Request/BackendRegistry.h"
 #include "platform/StoreCodec.h"
 
 namespace wisteria {
@@ -19,7 +19,7 @@
 {
 public:
     /// @param readPause Pause between two reads of the list.
-    BackendList(BackendBoard &board, EventLog &log, milliseconds readPause);
+    BackendList(BackendRegistry &registry, EventLog &log, milliseconds readPause);
 
     /// Takes in one entry of the list.
     void take(const platform::KeyedRecord &record, TimePoint now);
@@ -35,7 +35,7 @@
 private:
     void remove(const std::string &id, TimePoint now);
 
-    BackendBoard &board_;
+    BackendRegistry &registry_;
     EventLog &log_;
     bool known_ = false;
     /// How long after an outage of the store a missing server is kept.
--- a/Source/Programs/Gateway/Exchange.cpp
+++ b/Source/Programs/Gateway/Exchange.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "Programs/Gateway/GatewayMetrics.h"
-#include "Programs/Gateway/ServerWords.h"
+#include "Programs/Gateway/ServerSignals.h"
 #include "platform/RequestCodec.h"
 
 namespace wisteria {
@@ -18,8 +18,8 @@
 constexpr std::size_t callerQueueBytes = 262144;
 /// Load in parts of the slots up to which a backend server gets a first send, and a further one of
 /// a request that has begun: that one has cost work already, and its caller waits for the rest.
-constexpr double fullForFirstSend = 1.0;
-constexpr double fullForRetry = 2.0;
+constexpr double maxLoadForFirstSend = 1.0;
+constexpr double maxLoadForRetry = 2.0;
 /// Pause after which a request that waits for a permit asks for one again, maybe at another backend
 /// server.
 constexpr milliseconds limitPause{50};
@@ -27,23 +27,23 @@
 /// When a request that waits is to look for a place although none has become free.
 TimePoint tryAgainAt(const BackendChoice &choice, TimePoint now)
 {
-    switch (choice.why) {
-    case NoBackend::Resting:
+    switch (choice.reason) {
+    case NoBackendReason::BackingOff:
         return choice.freeAt;
-    case NoBackend::AtLimit:
+    case NoBackendReason::AtLimit:
         return now + limitPause;
     default:
         return TimePoint::max();
     }
 }
 
-const char *refusalReason(NoBackend why, bool mayWait)
+const char *refusalReason(NoBackendReason reason, bool mayWait)
 {
-    if (why == NoBackend::Resting)
+    if (reason == NoBackendReason::BackingOff)
         return "all backend servers asked for rest";
-    if (why == NoBackend::AtLimit)
+    if (reason == NoBackendReason::AtLimit)
         return "the limits of all backend servers are used up";
-    if (why != NoBackend::AllFull)
+    if (reason != NoBackendReason::AllFull)
         return "no backend server takes work";
     return mayWait ? "all places are taken" : "too many wait for a place";
 }
@@ -62,7 +62,7 @@
         deadline_ = std::min(deadline_, arrived + *request_.timeLeft);
     waitUntil_ = arrived;
     inGroup_ = isGroup(routes_->configuration(), service_);
-    noteRequest(context_.retryShares[service_], context_.retryBounds, arrived);
+    noteRequest(context_.retryBuckets[service_], context_.retryQuota, arrived);
 }
 
 Exchange::~Exchange()
@@ -75,16 +75,16 @@
     if (!finished_)
         countEnd(0, "the caller left", monotonicNow());
     stopWaiting();
-    leaveBackend();
+    releaseBackend();
 }
 
-bool Exchange::tryPlace(TimePoint now)
+bool Exchange::tryDispatch(TimePoint now)
 {
-    const BackendChoice choice = chooseNext(fullForFirstSend, now);
+    const BackendChoice choice = chooseNext(maxLoadForFirstSend, now);
     if (choice.backend != nullptr) {
         stopWaiting();
-        noteFirstPlace(context_.placeQueues[service_], now);
-        wantPermit(context_.board.limits, choice.wished, now);
+        noteDispatched(context_.admissionQueues[service_], now);
+        wantPermit(context_.registry.limits, choice.preferredAtLimit, now);
         send(*choice.backend, now);
         return true;
     }
@@ -93,17 +93,17 @@
     // taken at once.
     waitUntil_ = std::max(
         waitUntil_,
-        waitsUntil(
-            context_.placeWait, choice.why,
+        queueTimeoutAt(
+            context_.admissionTimeouts, choice.reason,
             {.arrived = arrived_, .deadline = deadline_, .targetLatency = route_.targetLatency}));
     const bool mayWait = queued_ || waitIsWorthIt(choice, now);
     if (now < waitUntil_ && mayWait) {
-        wantPermit(context_.board.limits, choice.wished, now);
+        wantPermit(context_.registry.limits, choice.preferredAtLimit, now);
         startWaiting();
         return false;
     }
     stopWaiting();
-    refuse(refusalReason(choice.why, mayWait), choice, now);
+    refuse(refusalReason(choice.reason, mayWait), choice, now);
     return true;
 }
 
@@ -111,8 +111,8 @@
 {
     if (choice.freeAt > waitUntil_)
         return false;
-    return (choice.why != NoBackend::AllFull && choice.why != NoBackend::AtLimit)
-        || waitCanSucceed(context_.placeQueues[service_], priority_, remaining(now, waitUntil_),
+    return (choice.reason != NoBackendReason::AllFull && choice.reason != NoBackendReason::AtLimit)
+        || waitCanSucceed(context_.admissionQueues[service_], priority_, remaining(now, waitUntil_),
                           now);
 }
 
@@ -120,7 +120,7 @@
 {
     if (queued_)
         return;
-    joinQueue(context_.placeQueues[service_], priority_);
+    joinQueue(context_.admissionQueues[service_], priority_);
     queued_ = true;
 }
 
@@ -129,7 +129,7 @@
     waiting_ = false;
     if (!queued_)
         return;
-    leaveQueue(context_.placeQueues[service_], priority_);
+    leaveQueue(context_.admissionQueues[service_], priority_);
     queued_ = false;
 }
 
@@ -138,24 +138,25 @@
     SendOptions options{.expectedBackend = backend.entry.id,
                         .organisation = organisation_,
                         .timeLeft = timeLeft(now),
-                        .lastEventId = cutter_.lastId() ? cutter_.lastId() : request_.lastEventId};
+                        .lastEventId =
+                            splitter_.lastId() ? splitter_.lastId() : request_.lastEventId};
     if (tried_.empty())
         countFirstSend(context_.metrics, service_, remaining(arrived_, now));
     backendId_ = backend.entry.id;
     tried_.push_back(backendId_);
-    ++backend.own;
-    takePermit(context_.board.limits, backendId_, now);
+    ++backend.ownInFlight;
+    takePermit(context_.registry.limits, backendId_, now);
     sentAt_ = now;
     lastByteAt_ = now;
     head_ = {};
     body_.clear();
-    cutter_.beginRun();
+    splitter_.beginRun();
     const ConnectionUse use = route_.repeatable() ? ConnectionUse::Reuse : ConnectionUse::Fresh;
     if (context_.log.writes(LogLevel::Debug)) {
         context_.log.debug("request.send",
                            {{"id", request_.attemptId},
                             {"backend", backendId_},
-                            {"own", backend.own},
+                            {"own", backend.ownInFlight},
                             {"left_s", secondsOf(options.timeLeft)}});
     }
     CallEvents events{.accept = [this](const HttpResponseHead &head) { return acceptsHead(head); },
@@ -177,7 +178,7 @@
 {
     head_ = platform::decodeAnswerHead(head);
     lastByteAt_ = monotonicNow();
-    noteServerWords(context_, {backendId_, request_.attemptId, head_}, lastByteAt_);
+    noteServerSignals(context_, {backendId_, request_.attemptId, head_}, lastByteAt_);
     BackendState *backend = backendNow();
     if (backend == nullptr)
         return;
@@ -186,10 +187,10 @@
         context_.listChanged();
         return;
     }
-    const AnswerTold told{.load = head_.load,
-                          .notExecuted = head_.notExecuted,
-                          .wantsRest = head_.rest > milliseconds(0)};
-    noteAnswer(*backend, told, inGroup_, lastByteAt_, context_.draw());
+    const AnswerFeedback feedback{.load = head_.load,
+                                  .notExecuted = head_.notExecuted,
+                                  .asksForBackoff = head_.retryAfter > milliseconds(0)};
+    noteAnswer(*backend, feedback, inGroup_, lastByteAt_, context_.randomUnit());
 }
 
 bool Exchange::forwardsStream() const
@@ -209,14 +210,14 @@
 
 void Exchange::forwardEvents(std::string_view bytes)
 {
-    const std::string events = cutter_.feed(bytes);
+    const std::string events = splitter_.feed(bytes);
     if (events.empty())
         return;
     const TimePoint now = monotonicNow();
     if (!history_.answerBegun) {
         history_.answerBegun = true;
         firstEventAt_ = now;
-        sink_.beginStream(head_.status, head_.passedOn);
+        sink_.beginStream(head_.status, head_.forwardedFields);
     } else {
         longestPause_ = std::max(longestPause_, remaining(lastByteAt_, now));
     }
@@ -236,7 +237,7 @@
 void Exchange::onComplete()
 {
     if (head_.notExecuted) {
-        endSend(SendEnd::NotExecuted, "the backend server did not run it");
+        endSend(SendOutcome::NotExecuted, "the backend server did not run it");
         return;
     }
     history_.mayHaveRun = true;
@@ -249,16 +250,16 @@
     const bool unusable = history_.answerBegun || head_.encoded
         || (head_.success() && (!head_.sealed || route_.kind == RequestKind::Streaming));
     if (unusable) {
-        endSend(SendEnd::Broken, "the answer is not usable");
+        endSend(SendOutcome::Incomplete, "the answer is not usable");
         return;
     }
     constexpr int firstServerError = 500;
     if (head_.status >= firstServerError) {
-        endSend(SendEnd::ServerError, "the backend server failed");
+        endSend(SendOutcome::ServerError, "the backend server failed");
         return;
     }
     noteGoodAnswer();
-    passOnAnswer();
+    forwardAnswer();
 }
 
 /// An error is an answer as well, but one that comes at once from a server that fails everything:
@@ -273,71 +274,72 @@
 {
     const TimePoint now = monotonicNow();
     if (!history_.answerBegun) {
-        endSend(SendEnd::Broken, "the stream ended before its first event");
+        endSend(SendOutcome::Incomplete, "the stream ended before its first event");
         return;
     }
-    if (cutter_.pending() > 0) {
-        endSend(SendEnd::Broken, "the stream ended within an event");
+    if (splitter_.pending() > 0) {
+        endSend(SendOutcome::Incomplete, "the stream ended within an event");
         return;
     }
     const int status = head_.status;
     noteGoodAnswer();
     countSendEnd(context_.metrics, service_, "answered");
-    leaveBackend();
+    releaseBackend();
     finish(status, "answered", now);
     sink_.endStream();
 }
 
-void Exchange::passOnAnswer()
+void Exchange::forwardAnswer()
 {
     const TimePoint now = monotonicNow();
     const BackendAnswerHead head = std::move(head_);
     const std::string body = std::move(body_);
     countSendEnd(context_.metrics, service_, "answered");
-    leaveBackend();
+    releaseBackend();
     context_.progressAt[service_] = now;
     finish(head.status, "answered", now);
-    sink_.answer(head.status, head.passedOn, body);
+    sink_.answer(head.status, head.forwardedFields, body);
 }
 
 void Exchange::onFailed(const CallFailure &failure)
 {
     if (failure.neverSent) {
-        endSend(SendEnd::NeverSent, failure.reason);
+        endSend(SendOutcome::NeverSent, failure.reason);
         return;
     }
-    endSend(SendEnd::Broken, failure.reason);
+    endSend(SendOutcome::Incomplete, failure.reason);
 }
 
-void Exchange::endSend(SendEnd end, const std::string &reason)
+void Exchange::endSend(SendOutcome outcome, const std::string &reason)
 {
     const TimePoint now = monotonicNow();
-    if (end == SendEnd::NeverSent)
+    if (outcome == SendOutcome::NeverSent)
         ++history_.refusedConnections;
     else
-        ++history_.arrivals;
-    if (end == SendEnd::Broken || end == SendEnd::Silent || end == SendEnd::ServerError)
+        ++history_.delivered;
+    if (outcome == SendOutcome::Incomplete || outcome == SendOutcome::TimedOut
+        || outcome == SendOutcome::ServerError)
         history_.mayHaveRun = true;
     if (BackendState *backend = backendNow())
-        noteFailure(*backend, end == SendEnd::NeverSent, now);
+        noteFailure(*backend, outcome == SendOutcome::NeverSent, now);
     const milliseconds left = timeLeft(now);
     context_.log.warn("request.send_failed",
                       {{"id", request_.attemptId},
                        {"backend", backendId_},
                        {"reason", reason},
                        {"after_s", secondsOf(remaining(sentAt_, now))},
-                       {"arrivals", history_.arrivals},
+                       {"arrivals", history_.delivered},
                        {"may_have_run", history_.mayHaveRun},
                        {"left_s", secondsOf(left)}});
-    countSendEnd(context_.metrics, service_, nameOf(end));
-    leaveBackend();
-    const bool again = mayRetry(route_, end, history_, left)
-        && (end == SendEnd::NeverSent
-            || takeRetry(context_.retryShares[service_], context_.retryBounds, now));
-    BackendChoice none{.why =
-                           end == SendEnd::NotExecuted ? NoBackend::AllFull : NoBackend::Unknown};
+    countSendEnd(context_.metrics, service_, nameOf(outcome));
+    releaseBackend();
+    const bool again = mayRetry(route_, outcome, history_, left)
+        && (outcome == SendOutcome::NeverSent
+            || takeRetryToken(context_.retryBuckets[service_], context_.retryQuota, now));
+    BackendChoice none{.reason = outcome == SendOutcome::NotExecuted ? NoBackendReason::AllFull
+                                                                     : NoBackendReason::Unknown};
     if (again) {
-        const BackendChoice choice = chooseNext(fullForRetry, now);
+        const BackendChoice choice = chooseNext(maxLoadForRetry, now);
         if (choice.freeAt != TimePoint())
             none = choice;
         if (choice.backend != nullptr) {
@@ -347,23 +349,23 @@
             return;
         }
     }
-    switch (finalStep(end, history_, left)) {
-    case NextStep::PassOn:
-        passOnAnswer();
+    switch (finalDecision(outcome, history_, left)) {
+    case RetryDecision::Forward:
+        forwardAnswer();
         return;
-    case NextStep::Refuse:
+    case RetryDecision::Refuse:
         refuse("not run by any backend server", none, now);
         return;
-    case NextStep::BreakOff:
+    case RetryDecision::Abort:
         finish(0, "broken off", now);
-        sink_.breakOff();
+        sink_.abort();
         return;
-    case NextStep::TimeOut:
+    case RetryDecision::TimeOut:
         finish(504, "out of time", now);
         sink_.answer(504, platform::ownAnswerFields(request_.attemptId, milliseconds(0)), "");
         return;
-    case NextStep::Fail:
-    case NextStep::Retry:
+    case RetryDecision::Fail:
+    case RetryDecision::Retry:
         finish(502, "the outcome is unknown", now);
         sink_.answer(502, platform::ownAnswerFields(request_.attemptId, milliseconds(0)), "");
         return;
@@ -376,17 +378,17 @@
         return;
     if (waiting_) {
         if (now >= std::min({waitUntil_, deadline_, tryAgainAt_}))
-            tryPlace(now);
+            tryDispatch(now);
         return;
     }
     if (!call_)
         return;
     if (now >= deadline_) {
-        endSend(call_->sent() ? SendEnd::Silent : SendEnd::NeverSent, "out of time");
+        endSend(call_->sent() ? SendOutcome::TimedOut : SendOutcome::NeverSent, "out of time");
         return;
     }
     if (!call_->sent() && now - sentAt_ >= connectTimeout) {
-        endSend(SendEnd::NeverSent, "no connection in time");
+        endSend(SendOutcome::NeverSent, "no connection in time");
         return;
     }
     moveOffSlowBackend(now);
@@ -396,54 +398,54 @@
 {
     const BackendState *slow = backendNow();
     if (route_.kind != RequestKind::Streaming || slow == nullptr
-        || paceOf(*slow, now, context_.board.loadLifetime) < moveAtPace)
+        || slowdownOf(*slow, now, context_.registry.loadLifetime) < moveAtSlowdown)
         return;
     SendHistory after = history_;
-    ++after.arrivals;
+    ++after.delivered;
     after.mayHaveRun = true;
-    if (!mayRetry(route_, SendEnd::Broken, after, timeLeft(now)))
+    if (!mayRetry(route_, SendOutcome::Incomplete, after, timeLeft(now)))
         return;
-    const BackendChoice choice = chooseNext(fullForFirstSend, now);
+    const BackendChoice choice = chooseNext(maxLoadForFirstSend, now);
     const bool better = choice.backend != nullptr
-        && paceOf(*choice.backend, now, context_.board.loadLifetime) < moveAtPace;
-    if (!better || !takeRetry(context_.retryShares[service_], context_.retryBounds, now))
+        && slowdownOf(*choice.backend, now, context_.registry.loadLifetime) < moveAtSlowdown;
+    if (!better || !takeRetryToken(context_.retryBuckets[service_], context_.retryQuota, now))
         return;
     context_.log.info("request.moved",
                       {{"id", request_.attemptId},
                        {"from", backendId_},
-                       {"pace", slow->told->pace},
+                       {"pace", slow->reportedLoad->slowdown},
                        {"to", choice.backend->entry.id}});
     history_ = after;
     countSendEnd(context_.metrics, service_, "moved");
     countRetry(context_.metrics, service_, RetryCause::Moved);
-    leaveBackend();
+    releaseBackend();
     send(*choice.backend, now);
 }
 
-BackendChoice Exchange::chooseNext(double fullAt, TimePoint now)
+BackendChoice Exchange::chooseNext(double maxLoad, TimePoint now)
 {
-    const BackendWish wish{.service = service_,
-                           .tried = tried_,
-                           .fullAt = fullAt,
-                           .keepsToShare = tried_.empty(),
-                           .inGroup = inGroup_,
-                           .failureDomain = context_.failureDomain};
-    return chooseBackend(context_.board, wish, now, context_.draw());
+    const BackendCriteria criteria{.service = service_,
+                                   .tried = tried_,
+                                   .maxLoad = maxLoad,
+                                   .withinFreeShare = tried_.empty(),
+                                   .inGroup = inGroup_,
+                                   .failureDomain = context_.failureDomain};
+    return chooseBackend(context_.registry, criteria, now, context_.randomUnit());
 }
 
 BackendState *Exchange::backendNow()
 {
-    const auto found = context_.board.backends.find(backendId_);
-    return found == context_.board.backends.end() ? nullptr : &found->second;
+    const auto found = context_.registry.backends.find(backendId_);
+    return found == context_.registry.backends.end() ? nullptr : &found->second;
 }
 
-void Exchange::leaveBackend()
+void Exchange::releaseBackend()
 {
     if (backendId_.empty())
         return;
     call_.reset();
-    if (BackendState *backend = backendNow(); backend != nullptr && backend->own > 0)
-        --backend->own;
+    if (BackendState *backend = backendNow(); backend != nullptr && backend->ownInFlight > 0)
+        --backend->ownInFlight;
     backendId_.clear();
 }
 
@@ -451,7 +453,7 @@
 {
     const milliseconds sinceProgress = remaining(context_.progressAt[service_], now);
     const milliseconds retryAfter =
-        comeBackAfter(context_.comeBackTimes, choice, sinceProgress, now, context_.draw());
+        retryAfterFor(context_.retryAfterPolicy, choice, sinceProgress, now, context_.randomUnit());
     finish(503, reason, now);
     sink_.answer(503, platform::ownAnswerFields(request_.attemptId, retryAfter), "");
 }
--- a/Source/Programs/Gateway/Exchange.h
+++ b/Source/Programs/Gateway/Exchange.h
@@ -9,8 +9,8 @@
 
 #include "Programs/Gateway/GatewayContext.h"
 #include "Request/CallerRequest.h"
-#include "Request/EventCutter.h"
-#include "Request/NextStep.h"
+#include "Request/EventSplitter.h"
+#include "Request/RetryDecision.h"
 
 namespace wisteria {
 
@@ -26,7 +26,7 @@
     virtual void sendStream(std::string_view bytes) = 0;
     virtual void endStream() = 0;
     /// Closes the connection so that the answer can't look complete.
-    virtual void breakOff() = 0;
+    virtual void abort() = 0;
     /// Bytes that the caller has not taken yet.
     virtual std::size_t queued() const = 0;
 };
@@ -45,7 +45,7 @@
 
     /// Looks for a place; called at the arrival and whenever one may be free.
     /// @return Whether it no longer waits.
-    bool tryPlace(TimePoint now);
+    bool tryDispatch(TimePoint now);
 
     /// Ends what has waited or worked for too long.
     void checkTime(TimePoint now);
@@ -74,11 +74,11 @@
     bool forwardsStream() const;
     void completeStream();
     void noteGoodAnswer();
-    void passOnAnswer();
-    void endSend(SendEnd end, const std::string &reason);
-    void leaveBackend();
+    void forwardAnswer();
+    void endSend(SendOutcome outcome, const std::string &reason);
+    void releaseBackend();
     void moveOffSlowBackend(TimePoint now);
-    BackendChoice chooseNext(double fullAt, TimePoint now);
+    BackendChoice chooseNext(double maxLoad, TimePoint now);
     BackendState *backendNow();
     void refuse(const char *reason, const BackendChoice &choice, TimePoint now);
     void finish(int status, const char *reason, TimePoint now);
@@ -115,7 +115,7 @@
     milliseconds longestPause_{0};
     BackendAnswerHead head_;
     std::string body_;
-    EventCutter cutter_;
+    EventSplitter splitter_;
 };
 
 } // namespace wisteria
--- a/Source/Programs/Gateway/Gateway.cpp
+++ b/Source/Programs/Gateway/Gateway.cpp
@@ -36,25 +36,26 @@
 /// Time before the kill at which a stopping gateway ends whatever is left.
 constexpr milliseconds stopMargin{300};
 
-RetryBounds retryBoundsOf(const platform::ProcessSettings &settings)
+RetryQuota retryQuotaOf(const platform::ProcessSettings &settings)
 {
-    return {
-        .ratio = settings.retryRatio, .slack = settings.retrySlack, .window = settings.retryWindow};
+    return {.ratio = settings.retryRatio,
+            .baseRetries = settings.retrySlack,
+            .window = settings.retryWindow};
 }
 
 /// The places of each service as this gateway expects them to be taken.
-std::vector<ServicePlaces> placesOf(const BackendBoard &board, TimePoint now)
+std::vector<ServiceSlots> slotsOf(const BackendRegistry &registry, TimePoint now)
 {
-    std::map<std::string, ServicePlaces> places;
-    for (const auto &[id, state] : board.backends) {
-        ServicePlaces &service = places[state.entry.service];
+    std::map<std::string, ServiceSlots> slots;
+    for (const auto &[id, state] : registry.backends) {
+        ServiceSlots &service = slots[state.entry.service];
         service.service = state.entry.service;
         ++service.backends;
-        service.taken += expectedLoad(state, now, board.loadLifetime);
+        service.taken += expectedLoad(state, now, registry.loadLifetime);
         service.total += state.entry.slots;
     }
-    std::vector<ServicePlaces> list;
-    for (const auto &[name, service] : places)
+    std::vector<ServiceSlots> list;
+    for (const auto &[name, service] : slots)
         list.push_back(service);
     return list;
 }
@@ -72,14 +73,14 @@
                                  .log = log_,
                                  .metrics = metrics_,
                                  .pool = pool_,
-                                 .board = board_,
-                                 .retryBounds = retryBoundsOf(settings_),
-                                 .retryShares = {},
+                                 .registry = registry_,
+                                 .retryQuota = retryQuotaOf(settings_),
+                                 .retryBuckets = {},
                                  .failureDomain = settings_.failureDomain,
                                  .routes = nullptr,
                                  .listChanged =
                                      [this] { backendsWatch_->readSoon(monotonicNow()); }},
-          list_(board_, log_, backendsPause(settings_.drainTime)),
+          list_(registry_, log_, backendsPause(settings_.drainTime)),
           callers_(loop_, [this](int descriptor) { acceptCaller(descriptor); }),
           readiness_(
               loop_,
@@ -146,7 +147,7 @@
                 .confirmed = [](TimePoint) {},
                 .upToDate =
                     [this](TimePoint at) {
-                        noteListRead(board_, at);
+                        noteListRead(registry_, at);
                         context_.listKnown = list_.known();
                         serveWaitingSoon();
                     }});
@@ -190,19 +191,19 @@
 
     void takeLoad(const EngineLoad &load)
     {
-        const LoadTold told{.running = load.running,
-                            .waiting = load.waiting,
-                            .at = monotonicNow(),
-                            .pace = load.pace,
-                            .open = load.open,
-                            .gateways = load.gateways};
-        noteGateways(context_.retryBounds, load.gateways);
-        for (auto &[id, state] : board_.backends) {
+        const BackendLoad reported{.running = load.running,
+                                   .waiting = load.waiting,
+                                   .at = monotonicNow(),
+                                   .slowdown = load.slowdown,
+                                   .open = load.open,
+                                   .gateways = load.gateways};
+        noteGateways(context_.retryQuota, load.gateways);
+        for (auto &[id, state] : registry_.backends) {
             if (state.entry.address != load.engine)
                 continue;
-            if (noteOpening(board_, state, told))
+            if (noteOpening(registry_, state, reported))
                 noteOpeningOf(state.entry.service);
-            noteLoad(state, told, context_.draw());
+            noteLoad(state, reported, context_.randomUnit());
         }
         serveWaitingSoon();
     }
@@ -230,12 +231,12 @@
             return;
         }
         const std::uint64_t id = ++lastSession_;
-        sessions_[id] =
-            std::make_unique<Session>(context_, descriptor,
-                                      SessionEvents{.over = [this, id] { endSession(id); },
-                                                    .waits = [this, id] { waiting_.push_back(id); },
-                                                    .freed = [this] { serveWaitingSoon(); },
-                                                    .stopping = [this] { return stopping_; }});
+        sessions_[id] = std::make_unique<Session>(
+            context_, descriptor,
+            SessionEvents{.closed = [this, id] { endSession(id); },
+                          .queued = [this, id] { waiting_.push_back(id); },
+                          .slotFreed = [this] { serveWaitingSoon(); },
+                          .stopping = [this] { return stopping_; }});
     }
 
     void endSession(std::uint64_t id)
@@ -272,7 +273,7 @@
         const std::vector<std::uint64_t> order = waiting_;
         for (const std::uint64_t id : order) {
             if (Exchange *exchange = waitingExchange(id))
-                exchange->tryPlace(now);
+                exchange->tryDispatch(now);
         }
     }
 
@@ -296,15 +297,15 @@
              .connections = sessions_.size(),
              .openRequests = busySessions(),
              .waitingRequests = waiting_.size(),
-             .serverLimits = limitsInForce(board_.limits),
+             .serverLimits = limitsInForce(registry_.limits),
              .ready = ready(),
              .droppedLogLines = log_.dropped()});
-        for (auto &[service, share] : context_.retryShares) {
-            refill(share, context_.retryBounds, now);
-            setRetriesLeft(metrics_, service, share.tokens);
+        for (auto &[service, bucket] : context_.retryBuckets) {
+            refill(bucket, context_.retryQuota, now);
+            setRetriesLeft(metrics_, service, bucket.tokens);
         }
-        for (const ServicePlaces &places : placesOf(board_, now))
-            setPlaces(metrics_, places);
+        for (const ServiceSlots &slots : slotsOf(registry_, now))
+            setSlots(metrics_, slots);
         noteStoreAge("configuration", *configurationWatch_, now);
         noteStoreAge("backends", *backendsWatch_, now);
         return metrics_.text();
@@ -355,13 +356,13 @@
             log_.warn("process.reload_refused", {{"reason", read.error().message}});
             return;
         }
-        const std::uint32_t gateways = context_.retryBounds.gatewaysTold;
-        context_.retryBounds = retryBoundsOf(read.value());
-        noteGateways(context_.retryBounds, gateways);
+        const std::uint32_t gateways = context_.retryQuota.reportedGateways;
+        context_.retryQuota = retryQuotaOf(read.value());
+        noteGateways(context_.retryQuota, gateways);
         settings_.gracePeriod = read.value().gracePeriod;
         log_.info("process.reload",
-                  {{"retry_ratio", context_.retryBounds.ratio},
-                   {"retry_slack", context_.retryBounds.slack}});
+                  {{"retry_ratio", context_.retryQuota.ratio},
+                   {"retry_slack", context_.retryQuota.baseRetries}});
     }
 
     void stop()
@@ -411,7 +412,7 @@
     EventLog log_;
     Metrics metrics_;
     HttpClientPool pool_;
-    BackendBoard board_;
+    BackendRegistry registry_;
     GatewayContext context_;
     BackendList list_;
     TcpListener callers_;
--- a/Source/Programs/Gateway/GatewayContext.h
+++ b/Source/Programs/Gateway/GatewayContext.h
@@ -11,11 +11,11 @@
 #include "Process/EventLog.h"
 #include "Process/EventLoop.h"
 #include "Process/Metrics.h"
-#include "Request/BackendBoard.h"
-#include "Request/ComeBack.h"
-#include "Request/PlaceQueue.h"
-#include "Request/PlaceWait.h"
-#include "Request/RetryShare.h"
+#include "Request/AdmissionQueue.h"
+#include "Request/AdmissionTimeouts.h"
+#include "Request/BackendRegistry.h"
+#include "Request/RetryAfterPolicy.h"
+#include "Request/RetryTokenBucket.h"
 #include "Request/RouteTable.h"
 
 namespace wisteria {
@@ -27,14 +27,14 @@
     EventLog &log;
     Metrics &metrics;
     HttpClientPool &pool;
-    BackendBoard &board;
-    RetryBounds retryBounds;
-    std::map<std::string, RetryShare> retryShares;
+    BackendRegistry &registry;
+    RetryQuota retryQuota;
+    std::map<std::string, RetryTokenBucket> retryBuckets;
     std::string failureDomain;
-    ComeBackTimes comeBackTimes{};
-    PlaceWait placeWait{};
+    RetryAfterPolicy retryAfterPolicy{};
+    AdmissionTimeouts admissionTimeouts{};
     /// By service.
-    std::map<std::string, PlaceQueue> placeQueues{};
+    std::map<std::string, AdmissionQueue> admissionQueues{};
     /// When each service last answered anything.
     std::map<std::string, TimePoint> progressAt{};
     /// Null until the first configuration is known.
@@ -51,7 +51,7 @@
     bool canAdmit() const { return routes && listKnown; }
 
     /// A number from 0 to below 1.
-    double draw() { return std::uniform_real_distribution<double>(0, 1)(random); }
+    double randomUnit() { return std::uniform_real_distribution<double>(0, 1)(random); }
 };
 
 } // namespace wisteria
--- a/Source/Programs/Gateway/GatewayMetrics.cpp
+++ b/Source/Programs/Gateway/GatewayMetrics.cpp
@@ -89,14 +89,14 @@
                 secondsOf(sinceAnswer), {{"what", what}});
 }
 
-void setPlaces(Metrics &metrics, const ServicePlaces &places)
+void setSlots(Metrics &metrics, const ServiceSlots &slots)
 {
     metrics.set("wisteria_backends", "Backend servers that the gateway knows of",
-                static_cast<double>(places.backends), {{"service", places.service}});
+                static_cast<double>(slots.backends), {{"service", slots.service}});
     metrics.set("wisteria_places_taken", "Requests expected at a service's backend servers now",
-                places.taken, {{"service", places.service}});
+                slots.taken, {{"service", slots.service}});
     metrics.set("wisteria_places", "Requests that a service's backend servers work on at a time",
-                places.total, {{"service", places.service}});
+                slots.total, {{"service", slots.service}});
 }
 
 void setRetriesLeft(Metrics &metrics, const std::string &service, double retries)
--- a/Source/Programs/Gateway/GatewayMetrics.h
+++ b/Source/Programs/Gateway/GatewayMetrics.h
@@ -34,7 +34,7 @@
 };
 
 /// A service's places as one gateway expects them to be.
-struct ServicePlaces
+struct ServiceSlots
 {
     std::string service;
     std::size_t backends = 0;
@@ -56,7 +56,7 @@
 void countStoreCall(Metrics &metrics, const std::string &what, const std::string &result);
 
 void setStoreAge(Metrics &metrics, const std::string &what, milliseconds sinceAnswer);
-void setPlaces(Metrics &metrics, const ServicePlaces &places);
+void setSlots(Metrics &metrics, const ServiceSlots &slots);
 void setRetriesLeft(Metrics &metrics, const std::string &service, double retries);
 
 /// State of the whole gateway at the moment of a scrape.
--- a/Source/Programs/Gateway/LimitPermits.cpp
+++ b/Source/Programs/Gateway/LimitPermits.cpp
@@ -10,14 +10,15 @@
 /// chance.
 constexpr double usedAlone = 0.5;
 
-std::uint32_t ageOf(const LimitWord &word, TimePoint now)
+std::uint32_t ageOf(const AdvertisedLimit &advertised, TimePoint now)
 {
-    return static_cast<std::uint32_t>(remaining(word.heardAt, now).count());
+    return static_cast<std::uint32_t>(remaining(advertised.receivedAt, now).count());
 }
 
-LimitWord wordOf(const std::optional<double> &perSecond, std::uint32_t age, TimePoint now)
+AdvertisedLimit advertisedLimitOf(const std::optional<double> &perSecond, std::uint32_t age,
+                                  TimePoint now)
 {
-    return {.perSecond = perSecond, .heardAt = now - milliseconds(age)};
+    return {.perSecond = perSecond, .receivedAt = now - milliseconds(age)};
 }
 
 } // namespace
@@ -29,8 +30,8 @@
 
 bool LimitPermits::ask(TimePoint now)
 {
-    ServerLimits &limits = context_.board.limits;
-    forgetOldLimits(context_.board, now);
+    ServerLimits &limits = context_.registry.limits;
+    forgetOldLimits(context_.registry, now);
     forgetOldLimits(kept_, now);
     std::vector<PermitQuestion> due;
     for (const auto &[id, limit] : limits) {
@@ -50,8 +51,8 @@
     KeptLimit &kept = kept_[question.server];
     // Without a word of the others, each of as many as there may be grants itself its part.
     if (!keeper) {
-        const double share = usedAlone / gatewaysReckoned(context_.retryBounds);
-        return takeOwn(answerAlone(kept, question, share, context_.draw(), now), now);
+        const double share = usedAlone / assumedGateways(context_.retryQuota);
+        return takeOwn(answerAlone(kept, question, share, context_.randomUnit(), now), now);
     }
     if (*keeper == directory_.self())
         return takeOwn(answerQuestion(kept, question, now), now);
@@ -63,7 +64,7 @@
 /// Asks silent gateways whether they are back; one that is keeps its limits again.
 void LimitPermits::tryAgain(const PermitQuestion &question, TimePoint now)
 {
-    const PermitQuestion nothing{.server = question.server, .word = question.word};
+    const PermitQuestion nothing{.server = question.server, .advertised = question.advertised};
     for (auto &[name, gateway] : directory_.gateways()) {
         if (shouldTryAgain(gateway, now))
             send(gateway, nothing, now);
@@ -80,21 +81,22 @@
                 encodeMessage(PermitAsked{.server = question.server,
                                           .wanted = question.wanted,
                                           .number = question.number,
-                                          .perSecond = question.word.perSecond,
-                                          .ageMilliseconds = ageOf(question.word, now)}));
+                                          .perSecond = question.advertised.perSecond,
+                                          .ageMilliseconds = ageOf(question.advertised, now)}));
 }
 
 bool LimitPermits::takeOwn(const PermitAnswer &answer, TimePoint now)
 {
-    return takeAnswer(context_.board.limits, answer, now);
+    return takeAnswer(context_.registry.limits, answer, now);
 }
 
 void LimitPermits::take(const Endpoint &from, const PermitAsked &asked, TimePoint now)
 {
-    const PermitQuestion question{.server = asked.server,
-                                  .wanted = asked.wanted,
-                                  .number = asked.number,
-                                  .word = wordOf(asked.perSecond, asked.ageMilliseconds, now)};
+    const PermitQuestion question{
+        .server = asked.server,
+        .wanted = asked.wanted,
+        .number = asked.number,
+        .advertised = advertisedLimitOf(asked.perSecond, asked.ageMilliseconds, now)};
     const PermitAnswer answer = answerQuestion(kept_[asked.server], question, now);
     peers_.send(from,
                 encodeMessage(PermitTold{.server = answer.server,
@@ -102,8 +104,8 @@
                                          .granted = answer.granted,
                                          .nextInMilliseconds =
                                              static_cast<std::uint32_t>(answer.nextIn.count()),
-                                         .perSecond = answer.word.perSecond,
-                                         .ageMilliseconds = ageOf(answer.word, now)}));
+                                         .perSecond = answer.advertised.perSecond,
+                                         .ageMilliseconds = ageOf(answer.advertised, now)}));
 }
 
 bool LimitPermits::take(const Endpoint &from, const PermitTold &told, TimePoint now)
@@ -113,8 +115,9 @@
                               .number = told.number,
                               .granted = told.granted,
                               .nextIn = milliseconds(told.nextInMilliseconds),
-                              .word = wordOf(told.perSecond, told.ageMilliseconds, now)};
-    return takeAnswer(context_.board.limits, answer, now);
+                              .advertised =
+                                  advertisedLimitOf(told.perSecond, told.ageMilliseconds, now)};
+    return takeAnswer(context_.registry.limits, answer, now);
 }
 
 } // namespace wisteria
--- /dev/null
+++ b/Source/Programs/Gateway/ServerSignals.cpp
@@ -0,0 +1,51 @@
+#include "Programs/Gateway/ServerSignals.h"
+
+namespace wisteria {
+
+namespace {
+
+void applyLimit(GatewayContext &context, const BackendAnswer &answer, TimePoint now)
+{
+    // A refusal that names no limit does not end one.
+    if (answer.head.notExecuted && !answer.head.limitPerSecond)
+        return;
+    const AdvertisedLimit advertised{.perSecond = answer.head.limitPerSecond, .receivedAt = now};
+    if (!noteAdvertisedLimit(context.registry.limits, answer.backend, advertised))
+        return;
+    context.log.info("backend.limit",
+                     {{"id", answer.attempt},
+                      {"backend", answer.backend},
+                      {"limited", advertised.perSecond.has_value()},
+                      {"per_second", advertised.perSecond.value_or(0)}});
+}
+
+void applyBackoff(GatewayContext &context, const BackendAnswer &answer, TimePoint now)
+{
+    const milliseconds retryAfter = answer.head.retryAfter;
+    if (retryAfter <= milliseconds(0))
+        return;
+    noteBackoff(context.registry, answer.backend, now + retryAfter, now);
+    context.log.info(
+        "backend.rest",
+        {{"id", answer.attempt}, {"backend", answer.backend}, {"for_s", secondsOf(retryAfter)}});
+}
+
+void applyDraining(GatewayContext &context, const BackendAnswer &answer, TimePoint now)
+{
+    if (answer.head.draining && noteDraining(context.registry, answer.backend, now))
+        context.log.info("backend.leaving", {{"id", answer.attempt}, {"backend", answer.backend}});
+}
+
+} // namespace
+
+void noteServerSignals(GatewayContext &context, const BackendAnswer &answer, TimePoint now)
+{
+    // Another server has the address by now; what it says is not of the one that was meant.
+    if (answer.head.misdirected)
+        return;
+    applyLimit(context, answer, now);
+    applyBackoff(context, answer, now);
+    applyDraining(context, answer, now);
+}
+
+} // namespace wisteria
--- a/Source/Programs/Gateway/ServerWords.h
+++ b/Source/Programs/Gateway/ServerSignals.h
@@ -7,7 +7,7 @@
 namespace wisteria {
 
 /// An answer of a backend server, and what it answers.
-struct AnswerOf
+struct BackendAnswer
 {
     const std::string &backend;
     const std::string &attempt;
@@ -16,6 +16,6 @@
 
 /// Takes in what a backend server says with an answer beside its load: the limit that it names, the
 /// rest that it asks for, that it leaves. It binds all later sends.
-void noteServerWords(GatewayContext &context, const AnswerOf &answer, TimePoint now);
+void noteServerSignals(GatewayContext &context, const BackendAnswer &answer, TimePoint now);
 
 } // namespace wisteria
--- a/Source/Programs/Gateway/Session.cpp
+++ b/Source/Programs/Gateway/Session.cpp
@@ -49,7 +49,7 @@
                        [this] {
                            noteEarlyLeft();
                            over_ = true;
-                           events_.over();
+                           events_.closed();
                        },
                    .drained =
                        [this] {
@@ -98,7 +98,8 @@
     }
     // Nothing is known of the time that the store takes, so it is as with a service that stands.
     const milliseconds retryAfter =
-        comeBackAfter(context_.comeBackTimes, NoBackend::Unknown, milliseconds(0), context_.draw());
+        retryAfterFor(context_.retryAfterPolicy, NoBackendReason::Unknown, milliseconds(0),
+                      context_.randomUnit());
     answerNow(503, early.request.attemptId, retryAfter, "no configuration is known yet");
 }
 
@@ -115,15 +116,15 @@
         answerNow(401, id, milliseconds(0), "unknown API key");
         return;
     }
-    const std::string *service = serviceOf(*access.route, context_.draw());
+    const std::string *service = serviceOf(*access.route, context_.randomUnit());
     if (service == nullptr) {
         answerNow(503, id, retryAfterConfiguration, "the route has no service");
         return;
     }
     exchange_ =
         std::make_unique<Exchange>(context_, *this, std::move(request), access, *service, arrived);
-    if (!exchange_->tryPlace(now))
-        events_.waits();
+    if (!exchange_->tryDispatch(now))
+        events_.queued();
 }
 
 void Session::noteEarlyLeft()
@@ -182,11 +183,11 @@
     done(keepAlive_);
 }
 
-void Session::breakOff()
+void Session::abort()
 {
     connection_.abort();
     over_ = true;
-    events_.over();
+    events_.closed();
 }
 
 void Session::done(bool keepAlive)
@@ -199,9 +200,9 @@
     } else {
         connection_.close();
         over_ = true;
-        events_.over();
+        events_.closed();
     }
-    events_.freed();
+    events_.slotFreed();
 }
 
 void Session::checkTime(TimePoint now)
@@ -232,7 +233,7 @@
 {
     connection_.close();
     over_ = true;
-    events_.over();
+    events_.closed();
 }
 
 } // namespace wisteria
--- a/Source/Programs/Gateway/Session.h
+++ b/Source/Programs/Gateway/Session.h
@@ -13,11 +13,11 @@
 struct SessionEvents
 {
     /// The connection is over; the session may be destroyed.
-    std::function<void()> over;
+    std::function<void()> closed;
     /// A request waits for a place.
-    std::function<void()> waits;
+    std::function<void()> queued;
     /// A place may be free.
-    std::function<void()> freed;
+    std::function<void()> slotFreed;
     /// The gateway is stopping: each answer is the connection's last.
     std::function<bool()> stopping;
 };
@@ -58,7 +58,7 @@
     void beginStream(int status, const HttpFields &fields) override;
     void sendStream(std::string_view bytes) override;
     void endStream() override;
-    void breakOff() override;
+    void abort() override;
     std::size_t queued() const override { return connection_.queued(); }
 
     GatewayContext &context_;
--- a/Source/Programs/Gateway/SidecarHellos.cpp
+++ b/Source/Programs/Gateway/SidecarHellos.cpp
@@ -67,8 +67,8 @@
 std::vector<Endpoint> SidecarHellos::unheardEngines(const std::string &service, TimePoint now) const
 {
     std::vector<Endpoint> unheard;
-    for (const auto &[id, state] : context_.board.backends) {
-        const bool awaited = !state.told && now - state.since < firstHellosFor;
+    for (const auto &[id, state] : context_.registry.backends) {
+        const bool awaited = !state.reportedLoad && now - state.since < firstHellosFor;
         if (awaited && state.entry.service == service && !state.replaced)
             unheard.push_back(state.entry.address);
     }
@@ -79,7 +79,7 @@
                                        const EngineProfile &engine) const
 {
     EngineList list{.profile = expertProfileOf(engine), .engines = {}};
-    for (const auto &[id, state] : context_.board.backends) {
+    for (const auto &[id, state] : context_.registry.backends) {
         if (state.entry.service == service && !state.replaced)
             list.engines.push_back(state.entry.address);
     }
@@ -92,12 +92,12 @@
 {
     if (!context_.routes)
         return;
-    const auto beside = std::find_if(context_.board.backends.begin(), context_.board.backends.end(),
-                                     [&sidecar](const auto &entry) {
-                                         return entry.second.entry.address.ip == sidecar.ip
-                                             && !entry.second.replaced;
-                                     });
-    if (beside == context_.board.backends.end())
+    const auto beside = std::find_if(
+        context_.registry.backends.begin(), context_.registry.backends.end(),
+        [&sidecar](const auto &entry) {
+            return entry.second.entry.address.ip == sidecar.ip && !entry.second.replaced;
+        });
+    if (beside == context_.registry.backends.end())
         return;
     const std::string &name = beside->second.entry.service;
     const auto &services = context_.routes->configuration().services;
--- a/Source/Programs/Sidecar/Sidecar.cpp
+++ b/Source/Programs/Sidecar/Sidecar.cpp
@@ -18,7 +18,7 @@
 #include "Version/KnownEngines.h"
 #include "Version/LeaderChoice.h"
 #include "Version/RelayPlan.h"
-#include "Version/ToldLoad.h"
+#include "Version/SentLoad.h"
 
 namespace wisteria {
 
@@ -27,7 +27,7 @@
 /// Period of the process' own checks.
 constexpr milliseconds tickPeriod{25};
 /// Pause between two reports of the engine.
-constexpr milliseconds reportPeriod{loadPeriod};
+constexpr milliseconds reportPeriod{loadReportInterval};
 /// The same while the rank takes part in a switch of maps.
 constexpr milliseconds reportPeriodSwitching{25};
 /// A gateway that has not been heard of for this long gets no more loads: three of its hellos.
@@ -211,7 +211,7 @@
         return {.engine = engine_,
                 .running = report.running,
                 .waiting = report.waiting,
-                .pace = report.pace,
+                .slowdown = report.slowdown,
                 .open = report.groupOpen || report.groupSize == 0,
                 .gateways = static_cast<std::uint32_t>(gateways_.size())};
     }
@@ -227,9 +227,9 @@
     void tellGateways(const EngineLoad &load)
     {
         const TimePoint now = monotonicNow();
-        if (!isWorthTelling(toldLoad_, load, now))
+        if (!shouldReport(sentLoad_, load, now))
             return;
-        toldLoad_ = {.load = load, .at = now};
+        sentLoad_ = {.load = load, .at = now};
         const std::string bytes = encodeMessage(load);
         for (const auto &[gateway, heardAt] : gateways_)
             socket_.send(gateway, bytes);
@@ -531,7 +531,7 @@
     /// Sums of counts that are being collected for others.
     std::vector<CountsCollection> collections_;
     std::map<Endpoint, TimePoint> gateways_;
-    ToldLoad toldLoad_;
+    SentLoad sentLoad_;
     KnownEngines known_;
     LeaderChoice choice_;
     bool leading_ = false;
--- a/Source/Programs/Sidecar/SidecarMetrics.cpp
+++ b/Source/Programs/Sidecar/SidecarMetrics.cpp
@@ -33,7 +33,7 @@
                 state.report.running);
     metrics.set("wisteria_engine_waiting", "Requests that wait at the engine",
                 state.report.waiting);
-    metrics.set("wisteria_engine_pace", "1 for usual, above for slower", state.report.pace);
+    metrics.set("wisteria_engine_pace", "1 for usual, above for slower", state.report.slowdown);
     metrics.set("wisteria_engine_memory_used", "Tokens in the engine's memory",
                 static_cast<double>(state.report.memoryUsed));
     metrics.set("wisteria_engine_memory", "Tokens that fit into the engine's memory",
--- a/Source/Request/PlaceQueue.h
+++ b/Source/Request/AdmissionQueue.h
@@ -10,34 +10,34 @@
 
 /// Time over which the rate of first sends is taken: several passes of a group, so that it follows
 /// a surge within its first second.
-constexpr milliseconds placeRateTime{500};
+constexpr milliseconds dispatchRateWindow{500};
 
 /// Requests that may wait however few places were found of late: a service that stood still for a
 /// moment, or that few call, has no rate to go by.
-constexpr double waitersAlways = 2;
+constexpr double minQueueLength = 2;
 
 /// How often one gateway finds places of a service, and who waits there for one. A plain value.
-struct PlaceQueue
+struct AdmissionQueue
 {
-    /// First sends, each fading with `placeRateTime`.
+    /// First sends, each fading with `dispatchRateWindow`.
     double recentSends = 0;
-    TimePoint fadedAt;
+    TimePoint decayedAt;
     /// Requests that wait, by priority; the lowest number goes first.
     std::map<std::uint32_t, std::size_t> waiting;
 };
 
 /// Notes that a request found its first place.
-void noteFirstPlace(PlaceQueue &queue, TimePoint now);
+void noteDispatched(AdmissionQueue &queue, TimePoint now);
 
-void joinQueue(PlaceQueue &queue, std::uint32_t priority);
-void leaveQueue(PlaceQueue &queue, std::uint32_t priority);
+void joinQueue(AdmissionQueue &queue, std::uint32_t priority);
+void leaveQueue(AdmissionQueue &queue, std::uint32_t priority);
 
 /// Whether a request that finds all places taken is likely to get one within its wait, behind those
 /// that wait already and go before it.
 ///
 /// Answers a surge: all that arrived used to wait for half of their target latency, and most of
 /// them in vain. Told at once, callers can turn elsewhere, and those that wait are served.
-bool waitCanSucceed(const PlaceQueue &queue, std::uint32_t priority, milliseconds wait,
+bool waitCanSucceed(const AdmissionQueue &queue, std::uint32_t priority, milliseconds wait,
                     TimePoint now);
 
 } // namespace wisteria
--- a/Source/Request/PlaceWait.h
+++ b/Source/Request/AdmissionTimeouts.h
@@ -3,12 +3,12 @@
 #include <algorithm>
 
 #include "Process/Time.h"
-#include "Request/BackendBoard.h"
+#include "Request/BackendRegistry.h"
 
 namespace wisteria {
 
 /// How long a request without a place waits before it is refused.
-struct PlaceWait
+struct AdmissionTimeouts
 {
     /// All places are taken: share of the target latency. Longer, and the answer would come late
     /// even if a place were found.
@@ -23,7 +23,7 @@
 };
 
 /// What the wait of a request is reckoned from.
-struct WaitingRequest
+struct QueuedRequest
 {
     TimePoint arrived;
     TimePoint deadline;
@@ -31,23 +31,24 @@
 };
 
 /// Until when a request waits that found no place; its arrival when waiting can't help.
-inline TimePoint waitsUntil(const PlaceWait &wait, NoBackend why, const WaitingRequest &request)
+inline TimePoint queueTimeoutAt(const AdmissionTimeouts &timeouts, NoBackendReason reason,
+                                const QueuedRequest &request)
 {
     const auto part = [](milliseconds whole, double share) {
         return std::chrono::duration_cast<milliseconds>(whole * share);
     };
-    switch (why) {
-    case NoBackend::AllFull:
-    case NoBackend::AtLimit:
-    case NoBackend::Resting:
-        return request.arrived + part(request.targetLatency, wait.fullShare);
-    case NoBackend::NotOpen: {
+    switch (reason) {
+    case NoBackendReason::AllFull:
+    case NoBackendReason::AtLimit:
+    case NoBackendReason::BackingOff:
+        return request.arrived + part(request.targetLatency, timeouts.fullShare);
+    case NoBackendReason::NotOpen: {
         const milliseconds time = remaining(request.arrived, request.deadline);
-        return request.arrived + std::min(wait.closed, part(time, wait.closedShare));
+        return request.arrived + std::min(timeouts.closed, part(time, timeouts.closedShare));
     }
-    case NoBackend::None:
-    case NoBackend::Unknown:
-    case NoBackend::AllTried:
+    case NoBackendReason::None:
+    case NoBackendReason::Unknown:
+    case NoBackendReason::AllTried:
         return request.arrived;
     }
     return request.arrived;
--- a/Source/Request/CallerRequest.h
+++ b/Source/Request/CallerRequest.h
@@ -29,7 +29,7 @@
     /// The caller's own estimate of the answer's tokens; right at the median only.
     std::optional<std::uint32_t> likelyAnswerTokens;
     /// What is passed on as it came.
-    HttpFields passedOn;
+    HttpFields forwardedFields;
     std::string body;
     bool keepAlive = true;
 
@@ -49,7 +49,7 @@
 };
 
 /// Places of a backend server as it told them with an answer.
-struct PlainLoad
+struct AnswerLoad
 {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -70,16 +70,16 @@
     bool eventStream = false;
     /// A body encoding that the caller did not ask for.
     bool encoded = false;
-    std::optional<PlainLoad> load;
+    std::optional<AnswerLoad> load;
     /// The backend server will end and wants no new work.
-    bool leaving = false;
+    bool draining = false;
     /// Requests a second that the backend server takes from all gateways together.
     std::optional<double> limitPerSecond;
     /// It turned the request away and wants nothing of this gateway for so long; zero asks for
     /// none.
-    milliseconds rest{0};
+    milliseconds retryAfter{0};
     /// What is passed on to the caller as it came.
-    HttpFields passedOn;
+    HttpFields forwardedFields;
 
     bool success() const { return status >= 200 && status < 300; }
 };
--- a/Source/Request/EventCutter.cpp
+++ b/Source/Request/EventSplitter.cpp
@@ -1,4 +1,4 @@
-#include "Request/EventCutter.h"
+#include "Request/EventSplitter.h"
 
 #include <charconv>
 
@@ -37,7 +37,7 @@
 
 } // namespace
 
-std::string EventCutter::feed(std::string_view bytes)
+std::string EventSplitter::feed(std::string_view bytes)
 {
     rest_.append(bytes);
     const std::size_t end = endOfEvents(rest_);
@@ -49,7 +49,7 @@
     return events;
 }
 
-void EventCutter::noteIds(std::string_view events)
+void EventSplitter::noteIds(std::string_view events)
 {
     while (!events.empty()) {
         const std::size_t end = events.find('\n');
--- a/Source/Request/EventCutter.h
+++ b/Source/Request/EventSplitter.h
@@ -11,7 +11,7 @@
 ///
 /// A backend server may break off in the middle of an event. Only whole events are passed on, so
 /// that a run that goes on after the last id begins with the next event and repeats no part.
-class EventCutter
+class EventSplitter
 {
 public:
     /// Takes bytes in.
--- a/Source/Request/RouteTable.cpp
+++ b/Source/Request/RouteTable.cpp
@@ -49,12 +49,12 @@
     return access;
 }
 
-const std::string *serviceOf(const RouteRule &route, double draw)
+const std::string *serviceOf(const RouteRule &route, double randomUnit)
 {
     std::uint64_t total = 0;
     for (const ServiceShare &share : route.shares)
         total += share.weight;
-    double left = draw * static_cast<double>(total);
+    double left = randomUnit * static_cast<double>(total);
     for (const ServiceShare &share : route.shares) {
         left -= share.weight;
         if (left < 0)
--- a/Source/Request/RouteTable.h
+++ b/Source/Request/RouteTable.h
@@ -52,7 +52,7 @@
                 const std::string *apiKey);
 
 /// The service that a request of the route goes to.
-/// @param draw A number from 0 to below 1.
-const std::string *serviceOf(const RouteRule &route, double draw);
+/// @param randomUnit A number from 0 to below 1.
+const std::string *serviceOf(const RouteRule &route, double randomUnit);
 
 } // namespace wisteria
--- a/Source/Request/ServerLimit.cpp
+++ b/Source/Request/ServerLimit.cpp
@@ -24,7 +24,7 @@
 constexpr double leastPerSecond = 0.2;
 /// Without a question for this long nobody waits for a permit.
 constexpr milliseconds quietAfter{1000};
-constexpr std::chrono::minutes wordLifetime{5};
+constexpr std::chrono::minutes advertisedLimitLifetime{5};
 
 bool holdsPermit(const ServerLimit &limit, TimePoint now)
 {
@@ -51,11 +51,12 @@
 PermitAnswer answerWithin(KeptLimit &kept, const PermitQuestion &question, double share,
                           TimePoint now)
 {
-    takeWord(kept.word, question.word);
-    PermitAnswer answer{.server = question.server, .number = question.number, .word = kept.word};
-    if (!kept.word.perSecond)
+    updateLimit(kept.advertised, question.advertised);
+    PermitAnswer answer{
+        .server = question.server, .number = question.number, .advertised = kept.advertised};
+    if (!kept.advertised.perSecond)
         return answer;
-    const double perSecond = std::max(leastPerSecond, *kept.word.perSecond) * share;
+    const double perSecond = std::max(leastPerSecond, *kept.advertised.perSecond) * share;
     refill(kept, perSecond, now);
     answer.granted = question.wanted && kept.tokens >= 1;
     if (answer.granted)
@@ -66,22 +67,23 @@
 
 } // namespace
 
-bool takeWord(LimitWord &known, const LimitWord &word)
+bool updateLimit(AdvertisedLimit &known, const AdvertisedLimit &advertised)
 {
-    if (word.heardAt < known.heardAt)
+    if (advertised.receivedAt < known.receivedAt)
         return false;
-    const bool changes = known.perSecond != word.perSecond;
-    known = word;
+    const bool changes = known.perSecond != advertised.perSecond;
+    known = advertised;
     return changes;
 }
 
-bool noteWord(ServerLimits &limits, const std::string &id, const LimitWord &word)
+bool noteAdvertisedLimit(ServerLimits &limits, const std::string &id,
+                         const AdvertisedLimit &advertised)
 {
     const auto found = limits.find(id);
-    if (found == limits.end() && !word.perSecond)
+    if (found == limits.end() && !advertised.perSecond)
         return false;
     ServerLimit &limit = limits[id];
-    if (!takeWord(limit.word, word))
+    if (!updateLimit(limit.advertised, advertised))
         return false;
     limit.untold = true;
     return true;
@@ -90,7 +92,7 @@
 bool isPermitted(const ServerLimits &limits, const std::string &id, TimePoint now)
 {
     const auto found = limits.find(id);
-    return found == limits.end() || !found->second.word.perSecond
+    return found == limits.end() || !found->second.advertised.perSecond
         || holdsPermit(found->second, now);
 }
 
@@ -111,15 +113,17 @@
 std::size_t limitsInForce(const ServerLimits &limits)
 {
     return static_cast<std::size_t>(
-        std::count_if(limits.begin(), limits.end(),
-                      [](const auto &entry) { return entry.second.word.perSecond.has_value(); }));
+        std::count_if(limits.begin(), limits.end(), [](const auto &entry) {
+            return entry.second.advertised.perSecond.has_value();
+        }));
 }
 
 std::optional<PermitQuestion> questionDue(ServerLimits &limits, const std::string &id,
                                           TimePoint now)
 {
     ServerLimit &limit = limits[id];
-    const bool wanted = now < limit.wantedUntil && limit.word.perSecond && !holdsPermit(limit, now);
+    const bool wanted =
+        now < limit.wantedUntil && limit.advertised.perSecond && !holdsPermit(limit, now);
     if ((!wanted || now < limit.askAgainAt) && !limit.untold)
         return std::nullopt;
     limit.untold = false;
@@ -127,7 +131,7 @@
     limit.open = true;
     limit.askAgainAt = now + answerTime;
     return PermitQuestion{
-        .server = id, .wanted = wanted, .number = ++limit.asked, .word = limit.word};
+        .server = id, .wanted = wanted, .number = ++limit.asked, .advertised = limit.advertised};
 }
 
 bool takeAnswer(ServerLimits &limits, const PermitAnswer &answer, TimePoint now)
@@ -136,7 +140,8 @@
     if (found == limits.end())
         return false;
     ServerLimit &limit = found->second;
-    const bool ended = takeWord(limit.word, answer.word) && !limit.word.perSecond;
+    const bool ended =
+        updateLimit(limit.advertised, answer.advertised) && !limit.advertised.perSecond;
     if (!limit.open || answer.number != limit.asked)
         return ended;
     limit.open = false;
@@ -150,9 +155,9 @@
     return ended || answer.granted;
 }
 
-bool isOld(const LimitWord &word, TimePoint now)
+bool isExpired(const AdvertisedLimit &advertised, TimePoint now)
 {
-    return now - word.heardAt > wordLifetime;
+    return now - advertised.receivedAt > advertisedLimitLifetime;
 }
 
 PermitAnswer answerQuestion(KeptLimit &kept, const PermitQuestion &question, TimePoint now)
@@ -160,13 +165,13 @@
     return answerWithin(kept, question, 1, now);
 }
 
-PermitAnswer answerAlone(KeptLimit &kept, const PermitQuestion &question, double share, double draw,
-                         TimePoint now)
+PermitAnswer answerAlone(KeptLimit &kept, const PermitQuestion &question, double share,
+                         double randomUnit, TimePoint now)
 {
     // Of what many gateways saved up in a quiet time, each a request, a small limit is exceeded at
     // once. So nothing is saved, and each begins its turn at a moment of its own.
     if (now - kept.refilledAt > quietAfter) {
-        kept.tokens = draw;
+        kept.tokens = randomUnit;
         kept.refilledAt = now;
     }
     return answerWithin(kept, question, share, now);
@@ -174,7 +179,8 @@
 
 void forgetOldLimits(KeptLimits &kept, TimePoint now)
 {
-    std::erase_if(kept, [now](const auto &entry) { return isOld(entry.second.word, now); });
+    std::erase_if(kept,
+                  [now](const auto &entry) { return isExpired(entry.second.advertised, now); });
 }
 
 } // namespace wisteria
--- a/Source/Request/ServerLimit.h
+++ b/Source/Request/ServerLimit.h
@@ -11,16 +11,16 @@
 namespace wisteria {
 
 /// What a backend server said last of how many requests it takes from all gateways together.
-struct LimitWord
+struct AdvertisedLimit
 {
     /// Requests a second; nothing when it names no limit.
     std::optional<double> perSecond{};
-    TimePoint heardAt{};
+    TimePoint receivedAt{};
 };
 
 /// Takes in a word, unless a later one is known.
 /// @return Whether that changes the limit.
-bool takeWord(LimitWord &known, const LimitWord &word);
+bool updateLimit(AdvertisedLimit &known, const AdvertisedLimit &advertised);
 
 /// One gateway's part in the limit of a backend server. A plain value.
 ///
@@ -29,7 +29,7 @@
 /// need, and a whole request for each of many gateways is more than a small limit allows.
 struct ServerLimit
 {
-    LimitWord word;
+    AdvertisedLimit advertised;
     /// Requests that may be sent there, until a moment.
     std::uint32_t permits = 0;
     TimePoint permitsUntil;
@@ -53,7 +53,8 @@
 
 /// Takes in what a backend server said with an answer.
 /// @return Whether that changes the limit.
-bool noteWord(ServerLimits &limits, const std::string &id, const LimitWord &word);
+bool noteAdvertisedLimit(ServerLimits &limits, const std::string &id,
+                         const AdvertisedLimit &advertised);
 
 /// Whether one more request may be sent to a backend server.
 bool isPermitted(const ServerLimits &limits, const std::string &id, TimePoint now);
@@ -75,7 +76,7 @@
     /// One request is to be sent; else only the word is told.
     bool wanted = false;
     std::uint32_t number = 0;
-    LimitWord word{};
+    AdvertisedLimit advertised{};
 };
 
 /// What the keeper answers.
@@ -87,7 +88,7 @@
     /// When it is worth asking again.
     milliseconds nextIn{0};
     /// The latest word that the keeper knows.
-    LimitWord word{};
+    AdvertisedLimit advertised{};
 };
 
 /// A question about a backend server, where one is due.
@@ -100,12 +101,12 @@
 
 /// Whether a word was heard so long ago that its server is gone, unless something else tells that
 /// it is there.
-bool isOld(const LimitWord &word, TimePoint now);
+bool isExpired(const AdvertisedLimit &advertised, TimePoint now);
 
 /// A limit as its keeper has it. A plain value.
 struct KeptLimit
 {
-    LimitWord word;
+    AdvertisedLimit advertised;
     double tokens = 0;
     TimePoint refilledAt;
 };
@@ -121,9 +122,9 @@
 
 /// The same for a gateway that knows no other and grants itself its part of the limit.
 /// @param share Its part.
-/// @param draw A number from 0 to below 1.
-PermitAnswer answerAlone(KeptLimit &kept, const PermitQuestion &question, double share, double draw,
-                         TimePoint now);
+/// @param randomUnit A number from 0 to below 1.
+PermitAnswer answerAlone(KeptLimit &kept, const PermitQuestion &question, double share,
+                         double randomUnit, TimePoint now);
 
 /// Forgets limits that nobody asked for in long.
 void forgetOldLimits(KeptLimits &kept, TimePoint now);
--- a/Source/Version/DemandPlacement.cpp
+++ b/Source/Version/DemandPlacement.cpp
@@ -41,14 +41,14 @@
 
 /// A rank this much slower than usual holds no experts: spread over the others, its share costs
 /// them less than its slowness costs all.
-constexpr double emptyAtPace = 1.4;
+constexpr double emptyAtSlowdown = 1.4;
 
-RankGroup groupFor(const ExpertProfile &profile, const std::vector<double> &paces)
+RankGroup groupFor(const ExpertProfile &profile, const std::vector<double> &slowdowns)
 {
     RankGroup group;
-    for (const double pace : paces) {
-        group.ranks.push_back({.slots = pace >= emptyAtPace ? 0 : profile.expertsPerRank,
-                               .speed = 1 / std::max(1.0, pace)});
+    for (const double slowdown : slowdowns) {
+        group.ranks.push_back({.slots = slowdown >= emptyAtSlowdown ? 0 : profile.expertsPerRank,
+                               .speed = 1 / std::max(1.0, slowdown)});
     }
     group.layers = 1;
     group.experts = profile.expertsPerSet;
@@ -217,14 +217,15 @@
 }
 
 bool hasShifted(const ExpertDemand &known, const ExpertDemand &latest, const RankMap &map,
-                const std::vector<double> &paces)
+                const std::vector<double> &slowdowns)
 {
     if (map.empty() || known.loads.size() != map.size())
         return false;
-    return demandSkew(latest, map, paces) > demandSkew(known, map, paces) + shiftSkew;
+    return demandSkew(latest, map, slowdowns) > demandSkew(known, map, slowdowns) + shiftSkew;
 }
 
-double demandSkew(const ExpertDemand &demand, const RankMap &map, const std::vector<double> &paces)
+double demandSkew(const ExpertDemand &demand, const RankMap &map,
+                  const std::vector<double> &slowdowns)
 {
     if (map.empty() || demand.loads.size() != map.size())
         return 1;
@@ -232,7 +233,7 @@
     for (std::size_t set = 0; set < map.size(); ++set) {
         ExpertProfile profile;
         profile.expertsPerSet = static_cast<std::uint32_t>(demand.loads[set].size());
-        const RankGroup group = groupFor(profile, paces);
+        const RankGroup group = groupFor(profile, slowdowns);
         sum += layerSkew(group, LayerMap{map[set]}, demand.loads[set]);
     }
     return sum / static_cast<double>(map.size());
@@ -240,14 +241,15 @@
 
 std::optional<PlacementProposal> proposeMap(const ExpertProfile &profile,
                                             const ExpertDemand &demand, const RankMap &present,
-                                            const std::vector<double> &paces,
+                                            const std::vector<double> &slowdowns,
                                             const PlacementBounds &bounds)
 {
     if (!enoughCounts(demand, present.size()))
         return std::nullopt;
     const std::size_t ranks = present.front().size();
-    const RankGroup group = groupFor(profile, paces);
-    PlacementProposal proposal{.map = present, .skewBefore = demandSkew(demand, present, paces)};
+    const RankGroup group = groupFor(profile, slowdowns);
+    PlacementProposal proposal{.map = present,
+                               .skewBefore = demandSkew(demand, present, slowdowns)};
     // No map is better than balanced: most looks end here, without a search of milliseconds.
     if (proposal.skewBefore - 1 < bounds.leastGain)
         return std::nullopt;
@@ -276,7 +278,7 @@
             left[rank] -= std::min(left[rank], static_cast<std::uint32_t>(loaded));
         }
     }
-    proposal.skewAfter = demandSkew(demand, proposal.map, paces);
+    proposal.skewAfter = demandSkew(demand, proposal.map, slowdowns);
     const double gain = proposal.skewBefore - proposal.skewAfter;
     if (proposal.map == present || gain < bounds.leastGain)
         return std::nullopt;
--- a/Source/Version/DemandPlacement.h
+++ b/Source/Version/DemandPlacement.h
@@ -42,7 +42,7 @@
 
 /// Whether demand has moved away from the map between what is known and the latest counts.
 bool hasShifted(const ExpertDemand &known, const ExpertDemand &latest, const RankMap &map,
-                const std::vector<double> &paces);
+                const std::vector<double> &slowdowns);
 
 /// Bounds of one change of the map. They hold for groups of any size: what a copy costs follows
 /// from its time, and what it gains from the mean over the sets.
@@ -73,15 +73,16 @@
 };
 
 /// Looks for a better map.
-/// @param paces Of each rank, above 1 for one slower than usual. A rank that is much slower gets no
-/// experts at all: all ranks wait for it in every pass.
+/// @param slowdowns Of each rank, above 1 for one slower than usual. A rank that is much slower
+/// gets no experts at all: all ranks wait for it in every pass.
 /// @return Nothing when the gain is not worth the copies, or too little demand is known.
 std::optional<PlacementProposal> proposeMap(const ExpertProfile &profile,
                                             const ExpertDemand &demand, const RankMap &present,
-                                            const std::vector<double> &paces,
+                                            const std::vector<double> &slowdowns,
                                             const PlacementBounds &bounds);
 
 /// Step-time skew of a map under the present demand, averaged over the sets; 1 is balanced.
-double demandSkew(const ExpertDemand &demand, const RankMap &map, const std::vector<double> &paces);
+double demandSkew(const ExpertDemand &demand, const RankMap &map,
+                  const std::vector<double> &slowdowns);
 
 } // namespace wisteria
--- a/Source/Version/GroupDemand.cpp
+++ b/Source/Version/GroupDemand.cpp
@@ -18,7 +18,7 @@
     if (passes == 0)
         return;
     const bool shifted = !group.shiftSeen
-        && hasShifted(group.demand, window, presentMap(group, profile), pacesOf(group));
+        && hasShifted(group.demand, window, presentMap(group, profile), slowdownsOf(group));
     if (shifted) {
         group.demand = {};
         group.shiftSeenAt = now;
--- a/Source/Version/GroupMessages.cpp
+++ b/Source/Version/GroupMessages.cpp
@@ -85,7 +85,7 @@
 }
 
 /// Paces travel as whole hundredths: a number with a fraction takes nine bytes.
-constexpr double paceUnit = 0.01;
+constexpr double slowdownUnit = 0.01;
 
 Json encode(const EngineLoad &load)
 {
@@ -95,7 +95,7 @@
             load.waiting,
             load.open,
             load.gateways,
-            static_cast<std::uint32_t>(std::lround(load.pace / paceUnit))};
+            static_cast<std::uint32_t>(std::lround(load.slowdown / slowdownUnit))};
 }
 
 EngineLoad decodeLoad(const Json &json)
@@ -103,7 +103,7 @@
     return {.engine = decodeEndpoint(json.at(1)),
             .running = json.at(2).get<std::uint32_t>(),
             .waiting = json.at(3).get<std::uint32_t>(),
-            .pace = json.at(6).get<std::uint32_t>() * paceUnit,
+            .slowdown = json.at(6).get<std::uint32_t>() * slowdownUnit,
             .open = json.at(4).get<bool>(),
             .gateways = json.at(5).get<std::uint32_t>()};
 }
@@ -123,7 +123,7 @@
             report.armed,
             report.armedStep,
             report.heldStep.value_or(0),
-            report.pace};
+            report.slowdown};
 }
 
 RankReport decodeReport(const Json &json)
@@ -143,7 +143,7 @@
     report.armedStep = json.at(11).get<std::uint64_t>();
     if (const auto held = json.at(12).get<std::uint64_t>(); held != 0)
         report.heldStep = held;
-    report.pace = json.at(13).get<double>();
+    report.slowdown = json.at(13).get<double>();
     return report;
 }
 
--- a/Source/Version/GroupMessages.h
+++ b/Source/Version/GroupMessages.h
@@ -58,7 +58,7 @@
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     /// Above 1 for an engine slower than usual. Travels in hundredths.
-    double pace = 1;
+    double slowdown = 1;
     /// Its group takes work; one whose rank has crashed does not until it has formed anew.
     bool open = true;
     /// Gateways that are told, and so share the free places.
--- a/Source/Version/GroupViews.cpp
+++ b/Source/Version/GroupViews.cpp
@@ -152,12 +152,12 @@
                       [&](const auto &entry) { return now - entry.second.at > silentAfter; }));
 }
 
-std::vector<double> pacesOf(const GroupSwitch &group)
+std::vector<double> slowdownsOf(const GroupSwitch &group)
 {
-    std::vector<double> paces;
+    std::vector<double> slowdowns;
     for (const auto &[rank, view] : group.ranks)
-        paces.push_back(view.status.report.pace);
-    return paces;
+        slowdowns.push_back(view.status.report.slowdown);
+    return slowdowns;
 }
 
 std::vector<Held> holdsOf(const GroupSwitch &group)
--- a/Source/Version/GroupViews.h
+++ b/Source/Version/GroupViews.h
@@ -59,7 +59,7 @@
 std::size_t silentRanks(const GroupSwitch &group, milliseconds silentAfter, TimePoint now);
 
 /// Pace of each rank, above 1 for one slower than usual.
-std::vector<double> pacesOf(const GroupSwitch &group);
+std::vector<double> slowdownsOf(const GroupSwitch &group);
 
 /// Every hold that is known.
 std::vector<Held> holdsOf(const GroupSwitch &group);
--- a/Source/Version/RankReport.h
+++ b/Source/Version/RankReport.h
@@ -15,7 +15,7 @@
     std::uint64_t memoryUsed = 0;
     std::uint64_t memoryTotal = 0;
     /// Above 1 for an engine slower than usual.
-    double pace = 1;
+    double slowdown = 1;
     /// Orders that began something since the start.
     std::uint64_t orders = 0;
     std::string group;
--- a/Source/Version/RankSwitch.cpp
+++ b/Source/Version/RankSwitch.cpp
@@ -39,12 +39,12 @@
     const RankMap present = presentMap(group, profile);
     if (present.empty())
         return;
-    const double skew = demandSkew(group.demand, present, pacesOf(group));
+    const double skew = demandSkew(group.demand, present, slowdownsOf(group));
     const bool seenBefore = skew < group.fruitlessSkew + timing.worthAnotherLook
         && now - group.fruitlessAt < timing.lookAgain;
     if (seenBefore)
         return;
-    auto proposal = proposeMap(profile, group.demand, present, pacesOf(group), bounds);
+    auto proposal = proposeMap(profile, group.demand, present, slowdownsOf(group), bounds);
     if (!proposal) {
         group.fruitlessSkew = skew;
         group.fruitlessAt = now;
--- a/Source/Version/ToldLoad.h
+++ b/Source/Version/SentLoad.h
@@ -9,26 +9,26 @@
 namespace wisteria {
 
 /// What a sidecar last told the gateways of its engine's load. A plain value.
-struct ToldLoad
+struct SentLoad
 {
     std::optional<EngineLoad> load;
     TimePoint at;
 };
 
 /// Pause between two loads that differ. Gateways place requests by them.
-constexpr milliseconds loadPeriod{100};
+constexpr milliseconds loadReportInterval{100};
 /// Pause between two that are alike: two of them may get lost before gateways take the load for
 /// unknown.
-constexpr milliseconds sameLoadPeriod{300};
+constexpr milliseconds unchangedLoadInterval{300};
 /// Paces that differ by less decide nothing.
-constexpr double paceStep = 0.1;
+constexpr double slowdownResolution = 0.1;
 
 /// Whether the gateways would place requests otherwise if they knew the load.
-inline bool differs(const EngineLoad &told, const EngineLoad &load)
+inline bool differs(const EngineLoad &sent, const EngineLoad &load)
 {
-    EngineLoad samePace = load;
-    samePace.pace = told.pace;
-    return samePace != told || std::abs(load.pace - told.pace) >= paceStep;
+    EngineLoad sameSlowdown = load;
+    sameSlowdown.slowdown = sent.slowdown;
+    return sameSlowdown != sent || std::abs(load.slowdown - sent.slowdown) >= slowdownResolution;
 }
 
 /// Whether the gateways are to be told now.
@@ -36,11 +36,12 @@
 /// Most loads are the same as a tenth of a second before, and each goes to every gateway: their
 /// number grows with gateways times engines. A group that opens or closes is told at once, as
 /// requests wait for it or are sent there in vain.
-inline bool isWorthTelling(const ToldLoad &told, const EngineLoad &load, TimePoint now)
+inline bool shouldReport(const SentLoad &sent, const EngineLoad &load, TimePoint now)
 {
-    if (!told.load || told.load->open != load.open)
+    if (!sent.load || sent.load->open != load.open)
         return true;
-    return now - told.at >= (differs(*told.load, load) ? loadPeriod : sameLoadPeriod);
+    return now - sent.at
+        >= (differs(*sent.load, load) ? loadReportInterval : unchangedLoadInterval);
 }
 
 } // namespace wisteria
--- a/Tests/Fuzz/PlatformFuzzer.cpp
+++ b/Tests/Fuzz/PlatformFuzzer.cpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "Connection/HttpReader.h"
-#include "Request/EventCutter.h"
+#include "Request/EventSplitter.h"
 #include "Version/GroupMessages.h"
 #include "platform/ConfigurationCodec.h"
 #include "platform/ProcessSettings.h"
@@ -77,7 +77,7 @@
     decodeMessageTwice(text);
     readRequests(text);
     readResponse(text);
-    EventCutter cutter;
-    (void)cutter.feed(text);
+    EventSplitter splitter;
+    (void)splitter.feed(text);
     return 0;
 }
--- a/Tests/Gateway/PlaceQueueTest.cpp
+++ b/Tests/Gateway/AdmissionQueueTest.cpp
@@ -2,7 +2,7 @@
 
 #include <deque>
 
-#include "Request/PlaceQueue.h"
+#include "Request/AdmissionQueue.h"
 
 using namespace wisteria;
 
@@ -24,7 +24,7 @@
 SurgeResult playSurge(milliseconds betweenRequests, milliseconds betweenPlaces, seconds lasts)
 {
     SurgeResult result;
-    PlaceQueue queue;
+    AdmissionQueue queue;
     std::deque<TimePoint> waiting;
     for (TimePoint now = start; now < start + lasts; now += milliseconds(1)) {
         while (!waiting.empty() && now - waiting.front() >= wait) {
@@ -35,7 +35,7 @@
         if ((now - start) % betweenPlaces == milliseconds(0) && !waiting.empty()) {
             waiting.pop_front();
             leaveQueue(queue, 1);
-            noteFirstPlace(queue, now);
+            noteDispatched(queue, now);
             ++result.served;
         }
         if ((now - start) % betweenRequests != milliseconds(0))
@@ -74,7 +74,7 @@
 // A courier's door release must not be turned away because of drafts that would go after it.
 TEST_CASE("Only those that go before a request count against its wait")
 {
-    PlaceQueue queue;
+    AdmissionQueue queue;
     for (int i = 0; i < 5; ++i)
         joinQueue(queue, 3);
     REQUIRE(waitCanSucceed(queue, 1, wait, start));
@@ -86,9 +86,9 @@
 
 TEST_CASE("A rate of places that was seen before a standstill counts for less and less")
 {
-    PlaceQueue queue;
+    AdmissionQueue queue;
     for (int i = 0; i < 30; ++i)
-        noteFirstPlace(queue, start);
+        noteDispatched(queue, start);
     for (int i = 0; i < 6; ++i)
         joinQueue(queue, 1);
     REQUIRE(waitCanSucceed(queue, 1, wait, start));
--- a/Tests/Gateway/CodecTest.cpp
+++ b/Tests/Gateway/CodecTest.cpp
@@ -203,13 +203,13 @@
     RankStatus status{.engine = {7, 80}, .readAtMilliseconds = 12};
     status.report.group = "g";
     status.report.heldStep = 4;
-    status.report.pace = 2.5;
+    status.report.slowdown = 2.5;
     status.experts = {{1, 2}, {3}};
     const auto back = decodeMessage(encodeMessage(status)).value();
     const auto &read = std::get<RankStatus>(back);
     REQUIRE(read.engine == status.engine);
     REQUIRE(read.report.heldStep == 4);
-    REQUIRE(read.report.pace == 2.5);
+    REQUIRE(read.report.slowdown == 2.5);
     REQUIRE(read.experts == status.experts);
 
     const CountsPoll poll{.engines = {{1, 2}, {3, 4}}};
--- a/Tests/Gateway/DecisionsTest.cpp
+++ b/Tests/Gateway/DecisionsTest.cpp
@@ -3,12 +3,12 @@
 #include "Process/EventLog.h"
 #include "Programs/Gateway/BackendList.h"
 #include "Programs/Gateway/StorePacing.h"
-#include "Request/BackendBoard.h"
-#include "Request/ComeBack.h"
-#include "Request/EventCutter.h"
-#include "Request/NextStep.h"
-#include "Request/PlaceWait.h"
-#include "Request/RetryShare.h"
+#include "Request/AdmissionTimeouts.h"
+#include "Request/BackendRegistry.h"
+#include "Request/EventSplitter.h"
+#include "Request/RetryAfterPolicy.h"
+#include "Request/RetryDecision.h"
+#include "Request/RetryTokenBucket.h"
 #include "Request/RouteTable.h"
 
 using namespace wisteria;
@@ -49,59 +49,62 @@
 
 TEST_CASE("A request that may have run is repeated only where the route allows it")
 {
-    const SendHistory sent{.arrivals = 1, .mayHaveRun = true};
-    REQUIRE_FALSE(
-        mayRetry(routeOf(RequestKind::NonIdempotent, false, 3), SendEnd::Broken, sent, seconds(1)));
-    REQUIRE(
-        mayRetry(routeOf(RequestKind::Idempotent, false, 2), SendEnd::Broken, sent, seconds(1)));
-    REQUIRE(mayRetry(routeOf(RequestKind::Streaming, true, 2), SendEnd::Broken, sent, seconds(1)));
-    REQUIRE_FALSE(
-        mayRetry(routeOf(RequestKind::Streaming, false, 2), SendEnd::Broken, sent, seconds(1)));
+    const SendHistory sent{.delivered = 1, .mayHaveRun = true};
+    REQUIRE_FALSE(mayRetry(routeOf(RequestKind::NonIdempotent, false, 3), SendOutcome::Incomplete,
+                           sent, seconds(1)));
+    REQUIRE(mayRetry(routeOf(RequestKind::Idempotent, false, 2), SendOutcome::Incomplete, sent,
+                     seconds(1)));
+    REQUIRE(mayRetry(routeOf(RequestKind::Streaming, true, 2), SendOutcome::Incomplete, sent,
+                     seconds(1)));
+    REQUIRE_FALSE(mayRetry(routeOf(RequestKind::Streaming, false, 2), SendOutcome::Incomplete, sent,
+                           seconds(1)));
 }
 
 TEST_CASE("No request goes to more backend servers than its route allows, or without time")
 {
-    const SendHistory sent{.arrivals = 2, .mayHaveRun = true};
+    const SendHistory sent{.delivered = 2, .mayHaveRun = true};
     const RouteRule route = routeOf(RequestKind::Idempotent, false, 2);
-    REQUIRE_FALSE(mayRetry(route, SendEnd::Broken, sent, seconds(1)));
-    REQUIRE(mayRetry(route, SendEnd::NeverSent, {.refusedConnections = 2}, seconds(1)));
-    REQUIRE_FALSE(mayRetry(route, SendEnd::NeverSent, {.refusedConnections = 3}, seconds(1)));
-    REQUIRE_FALSE(mayRetry(route, SendEnd::NotExecuted, {.arrivals = 1}, milliseconds(10)));
+    REQUIRE_FALSE(mayRetry(route, SendOutcome::Incomplete, sent, seconds(1)));
+    REQUIRE(mayRetry(route, SendOutcome::NeverSent, {.refusedConnections = 2}, seconds(1)));
+    REQUIRE_FALSE(mayRetry(route, SendOutcome::NeverSent, {.refusedConnections = 3}, seconds(1)));
+    REQUIRE_FALSE(mayRetry(route, SendOutcome::NotExecuted, {.delivered = 1}, milliseconds(10)));
 }
 
 // A clerk is told that a quotation was not drafted, asks again, and two are. One of two sends may
 // have run although the last one surely did not.
 TEST_CASE("Only what surely has not run is told as not run")
 {
-    REQUIRE(finalStep(SendEnd::NotExecuted, {.arrivals = 1}, seconds(1)) == NextStep::Refuse);
-    REQUIRE(finalStep(SendEnd::NotExecuted, {.arrivals = 2, .mayHaveRun = true}, seconds(1))
-            == NextStep::Fail);
-    REQUIRE(finalStep(SendEnd::Silent, {.arrivals = 1, .mayHaveRun = true}, seconds(0))
-            == NextStep::TimeOut);
-    REQUIRE(finalStep(SendEnd::Broken, {.arrivals = 1, .mayHaveRun = true, .answerBegun = true},
-                      seconds(1))
-            == NextStep::BreakOff);
+    REQUIRE(finalDecision(SendOutcome::NotExecuted, {.delivered = 1}, seconds(1))
+            == RetryDecision::Refuse);
+    REQUIRE(
+        finalDecision(SendOutcome::NotExecuted, {.delivered = 2, .mayHaveRun = true}, seconds(1))
+        == RetryDecision::Fail);
+    REQUIRE(finalDecision(SendOutcome::TimedOut, {.delivered = 1, .mayHaveRun = true}, seconds(0))
+            == RetryDecision::TimeOut);
+    REQUIRE(finalDecision(SendOutcome::Incomplete,
+                          {.delivered = 1, .mayHaveRun = true, .answerBegun = true}, seconds(1))
+            == RetryDecision::Abort);
 }
 
 // A service that is sick gets three times its work and stays sick: every gateway retries at will.
 // All gateways together, each just started, must stay within the bound in any window.
 TEST_CASE("The shares of ten gateways stay within the bound in any window")
 {
-    const RetryBounds bounds{.ratio = 0.2, .slack = 90, .window = seconds(10)};
+    const RetryQuota quota{.ratio = 0.2, .baseRetries = 90, .window = seconds(10)};
     double taken = 0;
     constexpr int requests = 100;
     for (int gateway = 0; gateway < 10; ++gateway) {
-        RetryShare share;
+        RetryTokenBucket bucket;
         for (int tick = 0; tick < 1000; ++tick) {
             const TimePoint now = start + milliseconds(10 * tick);
             if (tick % 10 == 0)
-                noteRequest(share, bounds, now);
-            if (takeRetry(share, bounds, now))
+                noteRequest(bucket, quota, now);
+            if (takeRetryToken(bucket, quota, now))
                 ++taken;
         }
     }
-    REQUIRE(taken <= bounds.ratio * requests * 10 + bounds.slack);
-    REQUIRE(taken >= bounds.ratio * requests * 10 * 0.9);
+    REQUIRE(taken <= quota.ratio * requests * 10 + quota.baseRetries);
+    REQUIRE(taken >= quota.ratio * requests * 10 * 0.9);
 }
 
 // Guards against the retries of a fleet's gateways adding up to more than all of them may send: the
@@ -109,66 +112,66 @@
 TEST_CASE("The shares of any number of gateways stay within the bound in any window")
 {
     const int gateways = GENERATE(5, 13, 36);
-    RetryBounds bounds{.ratio = 0.2, .slack = 194, .window = seconds(10)};
-    noteGateways(bounds, static_cast<std::uint32_t>(gateways));
+    RetryQuota quota{.ratio = 0.2, .baseRetries = 194, .window = seconds(10)};
+    noteGateways(quota, static_cast<std::uint32_t>(gateways));
     constexpr int requestsEach = 100;
     double taken = 0;
     for (int gateway = 0; gateway < gateways; ++gateway) {
-        RetryShare share;
+        RetryTokenBucket bucket;
         constexpr int ticks = 1000;
         for (int tick = 0; tick < ticks; ++tick) {
             const TimePoint now = start + milliseconds(10 * tick);
             if (tick % (ticks / requestsEach) == 0)
-                noteRequest(share, bounds, now);
-            taken += takeRetry(share, bounds, now) ? 1 : 0;
+                noteRequest(bucket, quota, now);
+            taken += takeRetryToken(bucket, quota, now) ? 1 : 0;
         }
     }
-    REQUIRE(taken <= bounds.ratio * requestsEach * gateways + bounds.slack);
+    REQUIRE(taken <= quota.ratio * requestsEach * gateways + quota.baseRetries);
 }
 
 TEST_CASE("Only whole events are passed on, and the last id is known")
 {
-    EventCutter cutter;
-    REQUIRE(cutter.feed("id: 1\nda").empty());
-    REQUIRE(cutter.feed("ta: a\n\nid: 2\n") == "id: 1\ndata: a\n\n");
-    REQUIRE(cutter.lastId() == 1);
-    REQUIRE(cutter.pending() > 0);
-    cutter.beginRun();
-    REQUIRE(cutter.feed("id: 2\r\ndata: b\r\n\r\n") == "id: 2\r\ndata: b\r\n\r\n");
-    REQUIRE(cutter.lastId() == 2);
+    EventSplitter splitter;
+    REQUIRE(splitter.feed("id: 1\nda").empty());
+    REQUIRE(splitter.feed("ta: a\n\nid: 2\n") == "id: 1\ndata: a\n\n");
+    REQUIRE(splitter.lastId() == 1);
+    REQUIRE(splitter.pending() > 0);
+    splitter.beginRun();
+    REQUIRE(splitter.feed("id: 2\r\ndata: b\r\n\r\n") == "id: 2\r\ndata: b\r\n\r\n");
+    REQUIRE(splitter.lastId() == 2);
 }
 
 TEST_CASE("Requests spread over equal backend servers and keep to the gateway's failure domain")
 {
-    BackendBoard board;
-    putBackend(board, entryOf("i-1", "b"), start);
-    putBackend(board, entryOf("i-2", "a"), start);
-    const BackendWish wish{.service = "s", .tried = {}, .failureDomain = "a"};
-    const BackendChoice first = chooseBackend(board, wish, start, 0.1);
+    BackendRegistry registry;
+    putBackend(registry, entryOf("i-1", "b"), start);
+    putBackend(registry, entryOf("i-2", "a"), start);
+    const BackendCriteria criteria{.service = "s", .tried = {}, .failureDomain = "a"};
+    const BackendChoice first = chooseBackend(registry, criteria, start, 0.1);
     REQUIRE(first.backend->entry.id == "i-2");
-    first.backend->own = 2;
-    REQUIRE(chooseBackend(board, wish, start, 0.1).backend->entry.id == "i-1");
+    first.backend->ownInFlight = 2;
+    REQUIRE(chooseBackend(registry, criteria, start, 0.1).backend->entry.id == "i-1");
 }
 
 TEST_CASE("A full service is told apart from one without servers and from one that was all tried")
 {
-    BackendBoard board;
-    BackendWish wish{.service = "s", .tried = {}, .failureDomain = "a"};
-    REQUIRE(chooseBackend(board, wish, start, 0).why == NoBackend::Unknown);
-    putBackend(board, entryOf("i-1"), start);
-    board.backends.at("i-1").own = 10;
-    REQUIRE(chooseBackend(board, wish, start, 0).why == NoBackend::AllFull);
-    wish.tried = {"i-1"};
-    REQUIRE(chooseBackend(board, wish, start, 0).why == NoBackend::AllTried);
+    BackendRegistry registry;
+    BackendCriteria criteria{.service = "s", .tried = {}, .failureDomain = "a"};
+    REQUIRE(chooseBackend(registry, criteria, start, 0).reason == NoBackendReason::Unknown);
+    putBackend(registry, entryOf("i-1"), start);
+    registry.backends.at("i-1").ownInFlight = 10;
+    REQUIRE(chooseBackend(registry, criteria, start, 0).reason == NoBackendReason::AllFull);
+    criteria.tried = {"i-1"};
+    REQUIRE(chooseBackend(registry, criteria, start, 0).reason == NoBackendReason::AllTried);
 }
 
 TEST_CASE("A report replaces the own count, corrected by what was sent since")
 {
-    BackendBoard board;
-    putBackend(board, entryOf("i-1"), start);
-    BackendState &state = board.backends.at("i-1");
-    state.own = 3;
-    state.told = LoadTold{.running = 6, .waiting = 1, .own = 2, .at = start};
+    BackendRegistry registry;
+    putBackend(registry, entryOf("i-1"), start);
+    BackendState &state = registry.backends.at("i-1");
+    state.ownInFlight = 3;
+    state.reportedLoad = BackendLoad{.running = 6, .waiting = 1, .ownInFlight = 2, .at = start};
     REQUIRE(expectedLoad(state, start, seconds(1)) == 8);
     REQUIRE(expectedLoad(state, start + seconds(2), seconds(1)) == 3);
 }
@@ -177,93 +180,93 @@
 // others wait for it in each pass; it kept getting a request whenever the others were full.
 TEST_CASE("A slow rank gets no request while there is another, even a full one")
 {
-    BackendBoard board;
-    putBackend(board, entryOf("i-1"), start);
-    putBackend(board, entryOf("i-2"), start);
-    board.backends.at("i-1").told = LoadTold{.at = start, .pace = 12};
-    board.backends.at("i-2").told = LoadTold{.running = 10, .at = start};
-    const BackendWish wish{.service = "s", .tried = {}, .failureDomain = "a"};
-    REQUIRE(chooseBackend(board, wish, start, 0).why == NoBackend::AllFull);
-    board.backends.at("i-2").told->running = 9;
-    REQUIRE(chooseBackend(board, wish, start, 0).backend->entry.id == "i-2");
-    removeBackend(board, "i-2");
-    REQUIRE(chooseBackend(board, wish, start, 0).why != NoBackend::Unknown);
+    BackendRegistry registry;
+    putBackend(registry, entryOf("i-1"), start);
+    putBackend(registry, entryOf("i-2"), start);
+    registry.backends.at("i-1").reportedLoad = BackendLoad{.at = start, .slowdown = 12};
+    registry.backends.at("i-2").reportedLoad = BackendLoad{.running = 10, .at = start};
+    const BackendCriteria criteria{.service = "s", .tried = {}, .failureDomain = "a"};
+    REQUIRE(chooseBackend(registry, criteria, start, 0).reason == NoBackendReason::AllFull);
+    registry.backends.at("i-2").reportedLoad->running = 9;
+    REQUIRE(chooseBackend(registry, criteria, start, 0).backend->entry.id == "i-2");
+    removeBackend(registry, "i-2");
+    REQUIRE(chooseBackend(registry, criteria, start, 0).reason != NoBackendReason::Unknown);
 }
 
 TEST_CASE("A backend server that refuses connections is avoided for a while, not for good")
 {
-    BackendBoard board;
-    putBackend(board, entryOf("i-1"), start);
-    putBackend(board, entryOf("i-2"), start);
-    noteFailure(board.backends.at("i-1"), true, start);
-    const BackendWish wish{.service = "s", .tried = {}, .failureDomain = "a"};
-    REQUIRE(chooseBackend(board, wish, start, 0).backend->entry.id == "i-2");
-    board.backends.at("i-2").own = 5;
-    REQUIRE(chooseBackend(board, wish, start + seconds(1), 0).backend->entry.id == "i-1");
+    BackendRegistry registry;
+    putBackend(registry, entryOf("i-1"), start);
+    putBackend(registry, entryOf("i-2"), start);
+    noteFailure(registry.backends.at("i-1"), true, start);
+    const BackendCriteria criteria{.service = "s", .tried = {}, .failureDomain = "a"};
+    REQUIRE(chooseBackend(registry, criteria, start, 0).backend->entry.id == "i-2");
+    registry.backends.at("i-2").ownInFlight = 5;
+    REQUIRE(chooseBackend(registry, criteria, start + seconds(1), 0).backend->entry.id == "i-1");
 }
 
 // Counters get nothing but refusals for three seconds after a loss of power. Ranks whose group has
 // not formed yet refuse each request, and callers that come back at once use up their retry.
 TEST_CASE("A rank whose group is broken gets no request until it says otherwise")
 {
-    BackendBoard board;
-    putBackend(board, entryOf("i-1"), start);
-    board.backends.at("i-1").told = LoadTold{.at = start, .open = false};
-    const BackendWish wish{.service = "s", .tried = {}, .failureDomain = "a"};
-    REQUIRE(chooseBackend(board, wish, start, 0).why == NoBackend::NotOpen);
-    board.backends.at("i-1").told->open = true;
-    REQUIRE(chooseBackend(board, wish, start, 0).why == NoBackend::None);
+    BackendRegistry registry;
+    putBackend(registry, entryOf("i-1"), start);
+    registry.backends.at("i-1").reportedLoad = BackendLoad{.at = start, .open = false};
+    const BackendCriteria criteria{.service = "s", .tried = {}, .failureDomain = "a"};
+    REQUIRE(chooseBackend(registry, criteria, start, 0).reason == NoBackendReason::NotOpen);
+    registry.backends.at("i-1").reportedLoad->open = true;
+    REQUIRE(chooseBackend(registry, criteria, start, 0).reason == NoBackendReason::None);
 }
 
 TEST_CASE("A backend server whose address another one has is left out until it reports again")
 {
-    BackendBoard board;
-    putBackend(board, entryOf("i-1"), start);
-    noteReplaced(board.backends.at("i-1"));
-    const BackendWish wish{.service = "s", .tried = {}, .failureDomain = "a"};
-    REQUIRE(chooseBackend(board, wish, start, 0).why == NoBackend::Unknown);
-    putBackend(board, entryOf("i-1"), start);
-    REQUIRE(chooseBackend(board, wish, start, 0).why == NoBackend::None);
+    BackendRegistry registry;
+    putBackend(registry, entryOf("i-1"), start);
+    noteReplaced(registry.backends.at("i-1"));
+    const BackendCriteria criteria{.service = "s", .tried = {}, .failureDomain = "a"};
+    REQUIRE(chooseBackend(registry, criteria, start, 0).reason == NoBackendReason::Unknown);
+    putBackend(registry, entryOf("i-1"), start);
+    REQUIRE(chooseBackend(registry, criteria, start, 0).reason == NoBackendReason::None);
 }
 
 TEST_CASE("A backend server that started anew under its id is known anew")
 {
-    BackendBoard board;
-    putBackend(board, entryOf("i-1"), start);
-    noteFailure(board.backends.at("i-1"), true, start);
+    BackendRegistry registry;
+    putBackend(registry, entryOf("i-1"), start);
+    noteFailure(registry.backends.at("i-1"), true, start);
     BackendEntry anew = entryOf("i-1");
     anew.startedAt = 5;
-    putBackend(board, anew, start);
-    REQUIRE(board.backends.at("i-1").failures == 0);
+    putBackend(registry, anew, start);
+    REQUIRE(registry.backends.at("i-1").failures == 0);
 }
 
 // A service has no backend server for two seconds after each outage of the store. Entries lapse
 // while their owners can't report, and the list says so as soon as it can be read again.
 TEST_CASE("What lapsed in an outage of the store is kept until its owners can have reported")
 {
-    BackendBoard board;
+    BackendRegistry registry;
     EventLog log("test", {.least = LogLevel::Error});
-    BackendList list(board, log, readPause);
+    BackendList list(registry, log, readPause);
     list.take({"i-1", entryText("ready"), 0}, start);
     list.take({"i-2", entryText("ready"), 1}, start);
     list.storeRegained(start + seconds(5));
     list.take({"i-1", "", 2}, start + seconds(5));
     list.take({"i-2", "", 3}, start + seconds(5));
-    REQUIRE(board.backends.size() == 2);
+    REQUIRE(registry.backends.size() == 2);
     list.take({"i-1", entryText("ready"), 4}, start + seconds(6));
     list.checkTime(start + milliseconds(7400));
-    REQUIRE(board.backends.contains("i-1"));
-    REQUIRE_FALSE(board.backends.contains("i-2"));
+    REQUIRE(registry.backends.contains("i-1"));
+    REQUIRE_FALSE(registry.backends.contains("i-2"));
 }
 
 // All places of a service were gone for a moment after an outage of the store: a server that was
 // back in the list 1.9 s after it was read only at the next read, and had been dropped before.
 TEST_CASE("A server that is back just before the read is over is not dropped after an outage")
 {
-    BackendBoard board;
+    BackendRegistry registry;
     EventLog log("test", {.least = LogLevel::Error});
     constexpr milliseconds pause{1800};
-    BackendList list(board, log, pause);
+    BackendList list(registry, log, pause);
     list.take({"i-1", entryText("ready"), 0}, start);
     list.storeRegained(start);
     list.take({"i-1", "", 1}, start);
@@ -271,22 +274,22 @@
     for (milliseconds at{0}; at <= 2 * pause; at += milliseconds(25))
         list.checkTime(start + at);
     list.take({"i-1", entryText("ready"), 2}, start + 2 * pause);
-    REQUIRE(board.backends.contains("i-1"));
+    REQUIRE(registry.backends.contains("i-1"));
     list.checkTime(start + seconds(5));
-    REQUIRE(board.backends.contains("i-1"));
+    REQUIRE(registry.backends.contains("i-1"));
 }
 
 TEST_CASE("A draining or unreadable entry takes its server out at once, the others hold")
 {
-    BackendBoard board;
+    BackendRegistry registry;
     EventLog log("test", {.least = LogLevel::Error});
-    BackendList list(board, log, readPause);
+    BackendList list(registry, log, readPause);
     list.takeAll({{"i-1", entryText("ready"), 0}, {"i-2", entryText("ready"), 1}}, start);
     list.take({"i-1", "{\"service\":7}", 2}, start);
-    REQUIRE_FALSE(board.backends.contains("i-1"));
+    REQUIRE_FALSE(registry.backends.contains("i-1"));
     list.take({"i-2", entryText("draining"), 3}, start);
-    const BackendWish wish{.service = "s", .tried = {}, .failureDomain = "a"};
-    REQUIRE(chooseBackend(board, wish, start, 0).why == NoBackend::Unknown);
+    const BackendCriteria criteria{.service = "s", .tried = {}, .failureDomain = "a"};
+    REQUIRE(chooseBackend(registry, criteria, start, 0).reason == NoBackendReason::Unknown);
 }
 
 TEST_CASE("The longest prefix of the host wins, and a route's weights share its requests")
@@ -315,11 +318,11 @@
 // come back after 0.4 s, found all places still taken, and come back only once.
 TEST_CASE("Callers of a service that stands are told to come back later, and not all at once")
 {
-    const ComeBackTimes times;
-    REQUIRE(comeBackAfter(times, NoBackend::AllFull, milliseconds(60), 0.5) == times.full);
-    REQUIRE(comeBackAfter(times, NoBackend::AllFull, seconds(1), 0.0) == times.standing);
-    REQUIRE(comeBackAfter(times, NoBackend::NotOpen, milliseconds(60), 0.9)
-            > times.standing + milliseconds(800));
+    const RetryAfterPolicy policy;
+    REQUIRE(retryAfterFor(policy, NoBackendReason::AllFull, milliseconds(60), 0.5) == policy.busy);
+    REQUIRE(retryAfterFor(policy, NoBackendReason::AllFull, seconds(1), 0.0) == policy.stalled);
+    REQUIRE(retryAfterFor(policy, NoBackendReason::NotOpen, milliseconds(60), 0.9)
+            > policy.stalled + milliseconds(800));
 }
 
 // A treasurer's draft is refused twice and lost. All VMs lost power; the gateways are back 0.7 s
@@ -327,59 +330,64 @@
 // many came back to a group that was still closed or full.
 TEST_CASE("A request waits for a group that is forming, as long as its caller may")
 {
-    const PlaceWait wait;
-    WaitingRequest request{
+    const AdmissionTimeouts timeouts;
+    QueuedRequest request{
         .arrived = start, .deadline = start + seconds(8), .targetLatency = milliseconds(400)};
-    REQUIRE(waitsUntil(wait, NoBackend::NotOpen, request) == start + milliseconds(1200));
-    REQUIRE(waitsUntil(wait, NoBackend::AllFull, request) == start + milliseconds(200));
-    REQUIRE(waitsUntil(wait, NoBackend::Unknown, request) == start);
-    REQUIRE(waitsUntil(wait, NoBackend::AllTried, request) == start);
+    REQUIRE(queueTimeoutAt(timeouts, NoBackendReason::NotOpen, request)
+            == start + milliseconds(1200));
+    REQUIRE(queueTimeoutAt(timeouts, NoBackendReason::AllFull, request)
+            == start + milliseconds(200));
+    REQUIRE(queueTimeoutAt(timeouts, NoBackendReason::Unknown, request) == start);
+    REQUIRE(queueTimeoutAt(timeouts, NoBackendReason::AllTried, request) == start);
     request.deadline = start + milliseconds(1000);
-    REQUIRE(waitsUntil(wait, NoBackend::NotOpen, request) == start + milliseconds(250));
+    REQUIRE(queueTimeoutAt(timeouts, NoBackendReason::NotOpen, request)
+            == start + milliseconds(250));
 }
 
 // The same loss of power: a gateway that had just started knew no loads yet, sent to two ranks that
 // both refused, and told the caller that no backend server ran its request.
 TEST_CASE("Ranks that have not reported yet take no work for a moment")
 {
-    BackendBoard board;
-    putBackend(board, entryOf("i-1"), start);
-    const BackendWish wish{.service = "s", .tried = {}, .inGroup = true, .failureDomain = "a"};
-    REQUIRE(chooseBackend(board, wish, start, 0).why == NoBackend::NotOpen);
+    BackendRegistry registry;
+    putBackend(registry, entryOf("i-1"), start);
+    const BackendCriteria criteria{
+        .service = "s", .tried = {}, .inGroup = true, .failureDomain = "a"};
+    REQUIRE(chooseBackend(registry, criteria, start, 0).reason == NoBackendReason::NotOpen);
     // A plain service has no reports to wait for.
-    const BackendWish plain{.service = "s", .tried = {}, .failureDomain = "a"};
-    REQUIRE(chooseBackend(board, plain, start, 0).backend != nullptr);
+    const BackendCriteria plain{.service = "s", .tried = {}, .failureDomain = "a"};
+    REQUIRE(chooseBackend(registry, plain, start, 0).backend != nullptr);
     // No sidecar may be there, or reach this gateway.
-    REQUIRE(chooseBackend(board, wish, start + firstReportWait, 0).backend != nullptr);
-    board.backends.at("i-1").told = LoadTold{.at = start};
-    REQUIRE(chooseBackend(board, wish, start, 0).backend != nullptr);
-    board.backends.at("i-1").told->open = false;
-    REQUIRE(chooseBackend(board, wish, start + firstReportWait, 0).why == NoBackend::NotOpen);
+    REQUIRE(chooseBackend(registry, criteria, start + firstReportWait, 0).backend != nullptr);
+    registry.backends.at("i-1").reportedLoad = BackendLoad{.at = start};
+    REQUIRE(chooseBackend(registry, criteria, start, 0).backend != nullptr);
+    registry.backends.at("i-1").reportedLoad->open = false;
+    REQUIRE(chooseBackend(registry, criteria, start + firstReportWait, 0).reason
+            == NoBackendReason::NotOpen);
 }
 
 // The same loss of power: the engines come back under new ids at their old addresses, and every
 // second send names an engine that is gone.
 TEST_CASE("Of two backend servers at one address the one that started last is there")
 {
-    BackendBoard board;
+    BackendRegistry registry;
     BackendEntry former = entryOf("i-1");
     former.startedAt = 100;
     BackendEntry present = entryOf("i-2");
     present.address = former.address;
     present.startedAt = 200;
     const bool formerFirst = GENERATE(true, false);
-    putBackend(board, formerFirst ? former : present, start);
-    putBackend(board, formerFirst ? present : former, start);
-    REQUIRE(board.backends.at("i-1").replaced);
-    REQUIRE_FALSE(board.backends.at("i-2").replaced);
+    putBackend(registry, formerFirst ? former : present, start);
+    putBackend(registry, formerFirst ? present : former, start);
+    REQUIRE(registry.backends.at("i-1").replaced);
+    REQUIRE_FALSE(registry.backends.at("i-2").replaced);
     // Its entry is read once more, as after lost history.
-    putBackend(board, former, start);
-    REQUIRE(board.backends.at("i-1").replaced);
+    putBackend(registry, former, start);
+    REQUIRE(registry.backends.at("i-1").replaced);
     // Nothing is said of one that does not tell when it started.
     BackendEntry silent = entryOf("i-3");
     silent.address = former.address;
-    putBackend(board, silent, start);
-    REQUIRE_FALSE(board.backends.at("i-3").replaced);
+    putBackend(registry, silent, start);
+    REQUIRE_FALSE(registry.backends.at("i-3").replaced);
 }
 
 // In a surge to four times the load drafts begin a second late, although places at the ranks are
@@ -388,36 +396,36 @@
 TEST_CASE("Gateways that see the same free places fill them once")
 {
     constexpr std::uint32_t gateways = 5;
-    std::vector<BackendBoard> boards(gateways);
+    std::vector<BackendRegistry> boards(gateways);
     std::uint32_t sent = 0;
     constexpr std::uint32_t ranks = 12;
     constexpr std::uint32_t free = 3;
     for (std::uint32_t gateway = 0; gateway < gateways; ++gateway) {
-        BackendBoard &board = boards[gateway];
+        BackendRegistry &registry = boards[gateway];
         for (std::uint32_t rank = 0; rank < ranks; ++rank) {
             const std::string id = "i-" + std::to_string(rank);
-            putBackend(board, entryOf(id), start);
-            const double draw = static_cast<double>((gateway + rank) % gateways) / gateways;
-            noteLoad(board.backends.at(id),
-                     {.running = 10 - free, .at = start, .gateways = gateways}, draw);
+            putBackend(registry, entryOf(id), start);
+            const double randomUnit = static_cast<double>((gateway + rank) % gateways) / gateways;
+            noteLoad(registry.backends.at(id),
+                     {.running = 10 - free, .at = start, .gateways = gateways}, randomUnit);
         }
-        const BackendWish wish{
-            .service = "s", .tried = {}, .keepsToShare = true, .failureDomain = "a"};
+        const BackendCriteria criteria{
+            .service = "s", .tried = {}, .withinFreeShare = true, .failureDomain = "a"};
         for (int request = 0; request < 100; ++request) {
-            const BackendChoice choice = chooseBackend(board, wish, start, 0.3);
+            const BackendChoice choice = chooseBackend(registry, criteria, start, 0.3);
             if (choice.backend == nullptr) {
-                REQUIRE(choice.why == NoBackend::AllFull);
+                REQUIRE(choice.reason == NoBackendReason::AllFull);
                 continue;
             }
-            ++choice.backend->own;
+            ++choice.backend->ownInFlight;
             ++sent;
         }
     }
     REQUIRE(sent == ranks * free);
     // A request that ends leaves its place to the gateway that sent it.
     BackendState &used = boards[0].backends.begin()->second;
-    used.told->own = 2;
-    used.own = 1;
+    used.reportedLoad->ownInFlight = 2;
+    used.ownInFlight = 1;
     REQUIRE_FALSE(exceedsShare(used, start, milliseconds(1000)));
     // What was told long ago says nothing.
     REQUIRE_FALSE(exceedsShare(used, start + seconds(2), milliseconds(1000)));
@@ -428,41 +436,41 @@
 // look open, so that the next request went there as well.
 TEST_CASE("A rank that refuses work although it has free places is closed")
 {
-    BackendBoard board;
-    putBackend(board, entryOf("i-1"), start);
-    BackendState &rank = board.backends.at("i-1");
+    BackendRegistry registry;
+    putBackend(registry, entryOf("i-1"), start);
+    BackendState &rank = registry.backends.at("i-1");
     const auto openNow = [&](bool inGroup) {
         return isOpen(rank, inGroup, start + firstReportWait, milliseconds(1000));
     };
-    noteAnswer(rank, {.load = PlainLoad{}, .notExecuted = true}, true, start, 0);
+    noteAnswer(rank, {.load = AnswerLoad{}, .notExecuted = true}, true, start, 0);
     REQUIRE_FALSE(openNow(true));
     // The same without a load.
-    rank.told.reset();
+    rank.reportedLoad.reset();
     noteAnswer(rank, {.notExecuted = true}, true, start, 0);
     REQUIRE_FALSE(openNow(true));
     // It has begun to work.
-    noteAnswer(rank, {.load = PlainLoad{.running = 1}}, true, start, 0);
+    noteAnswer(rank, {.load = AnswerLoad{.running = 1}}, true, start, 0);
     REQUIRE(openNow(true));
     // One that refuses because it is full is not closed.
-    noteAnswer(rank, {.load = PlainLoad{.running = 10}, .notExecuted = true}, true, start, 0);
+    noteAnswer(rank, {.load = AnswerLoad{.running = 10}, .notExecuted = true}, true, start, 0);
     REQUIRE(openNow(true));
     // A plain service has no group that could be closed.
-    noteAnswer(rank, {.load = PlainLoad{}, .notExecuted = true}, false, start, 0);
+    noteAnswer(rank, {.load = AnswerLoad{}, .notExecuted = true}, false, start, 0);
     REQUIRE(openNow(false));
     // Neither answer nor load tells anything.
-    rank.told.reset();
+    rank.reportedLoad.reset();
     noteAnswer(rank, {}, true, start, 0);
-    REQUIRE_FALSE(rank.told);
+    REQUIRE_FALSE(rank.reportedLoad);
 }
 
 TEST_CASE("What is left over of the free places goes to as many gateways by chance")
 {
-    REQUIRE(shareOfFree(10, 5, 0.9) == 2);
-    REQUIRE(shareOfFree(11, 5, 0.1) == 3);
-    REQUIRE(shareOfFree(11, 5, 0.3) == 2);
-    REQUIRE(shareOfFree(2, 5, 0.39) == 1);
-    REQUIRE(shareOfFree(2, 5, 0.41) == 0);
-    REQUIRE(shareOfFree(7, 0, 0.5) == 7);
+    REQUIRE(shareOfFreeSlots(10, 5, 0.9) == 2);
+    REQUIRE(shareOfFreeSlots(11, 5, 0.1) == 3);
+    REQUIRE(shareOfFreeSlots(11, 5, 0.3) == 2);
+    REQUIRE(shareOfFreeSlots(2, 5, 0.39) == 1);
+    REQUIRE(shareOfFreeSlots(2, 5, 0.41) == 0);
+    REQUIRE(shareOfFreeSlots(7, 0, 0.5) == 7);
 }
 
 // Calls to the store were the second dearest thing of a fleet of 36 gateways: each read the list of
--- a/Tests/Gateway/LimitPermitsTest.cpp
+++ b/Tests/Gateway/LimitPermitsTest.cpp
@@ -5,7 +5,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "Gateway/BoardEntries.h"
+#include "Gateway/RegistryEntries.h"
 #include "Request/LimitKeepers.h"
 #include "Version/GroupMessages.h"
 
@@ -43,7 +43,8 @@
             known_["front-" + std::to_string(i)] = {.address = addressOf(i)};
         for (std::size_t i = 0; i < gateways; ++i) {
             gateways_[i].known = known_;
-            noteWord(gateways_[i].limits, server, {.perSecond = perSecond, .heardAt = now_});
+            noteAdvertisedLimit(gateways_[i].limits, server,
+                                {.perSecond = perSecond, .receivedAt = now_});
         }
     }
 
@@ -72,7 +73,7 @@
     {
         return static_cast<std::size_t>(
             std::count_if(gateways_.begin(), gateways_.end(), [](const Peer &peer) {
-                return peer.limits.at(server).word.perSecond.has_value();
+                return peer.limits.at(server).advertised.perSecond.has_value();
             }));
     }
 
@@ -97,11 +98,11 @@
         return {static_cast<std::uint32_t>(gateway + 1), 7340};
     }
 
-    double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+    double randomUnit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
     void post(Datagram datagram)
     {
-        if (draw() >= lost_)
+        if (randomUnit() >= lost_)
             posted_.push_back(std::move(datagram));
     }
 
@@ -129,7 +130,7 @@
         Peer &peer = gateways_[index];
         if (peer.stands)
             return;
-        if (draw() < asked * secondsOf(tick))
+        if (randomUnit() < asked * secondsOf(tick))
             arrive(peer);
         const auto question = questionDue(peer.limits, server, now_);
         if (!question)
@@ -137,7 +138,7 @@
         ask(index, *question);
         for (auto &[name, gateway] : peer.known) {
             if (shouldTryAgain(gateway, now_))
-                askPeer(index, name, {.server = server, .word = question->word});
+                askPeer(index, name, {.server = server, .advertised = question->advertised});
         }
     }
 
@@ -167,7 +168,7 @@
         }
         takePermit(peer.limits, server, now_);
         sentAt_.push_back(now_);
-        noteWord(peer.limits, server, {.perSecond = perSecond_, .heardAt = now_});
+        noteAdvertisedLimit(peer.limits, server, {.perSecond = perSecond_, .receivedAt = now_});
     }
 
     std::vector<Peer> gateways_;
@@ -241,53 +242,57 @@
 // the store is away.
 TEST_CASE("A limit outlasts changes of the server's entry, but not the server's restart")
 {
-    BackendBoard board;
-    putBackend(board, entryOf(server, 1), start);
-    noteWord(board.limits, server, {.perSecond = 1, .heardAt = start});
-    putBackend(board, entryOf(server, 1), start);
-    removeBackend(board, server);
-    putBackend(board, entryOf(server, 1), start);
-    REQUIRE_FALSE(isPermitted(board.limits, server, start));
-    putBackend(board, entryOf(server, 2), start);
-    REQUIRE(isPermitted(board.limits, server, start));
+    BackendRegistry registry;
+    putBackend(registry, entryOf(server, 1), start);
+    noteAdvertisedLimit(registry.limits, server, {.perSecond = 1, .receivedAt = start});
+    putBackend(registry, entryOf(server, 1), start);
+    removeBackend(registry, server);
+    putBackend(registry, entryOf(server, 1), start);
+    REQUIRE_FALSE(isPermitted(registry.limits, server, start));
+    putBackend(registry, entryOf(server, 2), start);
+    REQUIRE(isPermitted(registry.limits, server, start));
 }
 
 // Guards against a resumption or retry that takes another way than a first send.
 TEST_CASE(
     "No wish is served by a server at its limit, and the one there would be best is asked for")
 {
-    BackendBoard board;
+    BackendRegistry registry;
     for (const std::string id : {"i-1", "i-2"})
-        putBackend(board, entryOf(id), start);
-    board.backends["i-2"].own = 5;
-    noteWord(board.limits, server, {.perSecond = 1, .heardAt = start});
-    const BackendWish wish{
-        .service = "s", .tried = {}, .fullAt = GENERATE(1.0, 2.0), .failureDomain = "a"};
-    REQUIRE(chooseBackend(board, wish, start, 0).backend->entry.id == "i-2");
-    REQUIRE(chooseBackend(board, wish, start, 0).wished == server);
-    noteWord(board.limits, "i-2", {.perSecond = 1, .heardAt = start});
-    const BackendChoice none = chooseBackend(board, wish, start, 0);
+        putBackend(registry, entryOf(id), start);
+    registry.backends["i-2"].ownInFlight = 5;
+    noteAdvertisedLimit(registry.limits, server, {.perSecond = 1, .receivedAt = start});
+    const BackendCriteria criteria{
+        .service = "s", .tried = {}, .maxLoad = GENERATE(1.0, 2.0), .failureDomain = "a"};
+    REQUIRE(chooseBackend(registry, criteria, start, 0).backend->entry.id == "i-2");
+    REQUIRE(chooseBackend(registry, criteria, start, 0).preferredAtLimit == server);
+    noteAdvertisedLimit(registry.limits, "i-2", {.perSecond = 1, .receivedAt = start});
+    const BackendChoice none = chooseBackend(registry, criteria, start, 0);
     REQUIRE(none.backend == nullptr);
-    REQUIRE(none.why == NoBackend::AtLimit);
-    wantPermit(board.limits, none.wished, start);
-    const auto question = questionDue(board.limits, server, start);
+    REQUIRE(none.reason == NoBackendReason::AtLimit);
+    wantPermit(registry.limits, none.preferredAtLimit, start);
+    const auto question = questionDue(registry.limits, server, start);
     REQUIRE(question->wanted);
-    REQUIRE(takeAnswer(
-        board.limits,
-        {.server = server, .number = question->number, .granted = true, .word = question->word},
-        start));
-    REQUIRE(chooseBackend(board, wish, start, 0).backend->entry.id == server);
+    REQUIRE(takeAnswer(registry.limits,
+                       {.server = server,
+                        .number = question->number,
+                        .granted = true,
+                        .advertised = question->advertised},
+                       start));
+    REQUIRE(chooseBackend(registry, criteria, start, 0).backend->entry.id == server);
 }
 
 // Guards against one permit used twice: datagrams may come twice, and late.
 TEST_CASE("An answer permits one request, once, and not long after the question")
 {
     ServerLimits limits;
-    noteWord(limits, server, {.perSecond = 1, .heardAt = start});
+    noteAdvertisedLimit(limits, server, {.perSecond = 1, .receivedAt = start});
     wantPermit(limits, server, start);
     const auto question = questionDue(limits, server, start);
-    const PermitAnswer answer{
-        .server = server, .number = question->number, .granted = true, .word = question->word};
+    const PermitAnswer answer{.server = server,
+                              .number = question->number,
+                              .granted = true,
+                              .advertised = question->advertised};
     takeAnswer(limits, answer, start);
     takePermit(limits, server, start);
     takeAnswer(limits, answer, start);
@@ -296,7 +301,10 @@
     wantPermit(limits, server, start + seconds(1));
     const auto second = questionDue(limits, server, start + seconds(1));
     takeAnswer(limits,
-               {.server = server, .number = second->number, .granted = true, .word = second->word},
+               {.server = server,
+                .number = second->number,
+                .granted = true,
+                .advertised = second->advertised},
                start + seconds(2));
     REQUIRE_FALSE(isPermitted(limits, server, start + seconds(2)));
 }
@@ -330,8 +338,9 @@
     std::uniform_real_distribution<double> draw(0, 1);
     std::vector<KeptLimit> kept(gateways);
     std::vector<TimePoint> granted;
-    const PermitQuestion question{
-        .server = server, .wanted = true, .word = {.perSecond = perSecond, .heardAt = start}};
+    const PermitQuestion question{.server = server,
+                                  .wanted = true,
+                                  .advertised = {.perSecond = perSecond, .receivedAt = start}};
     for (KeptLimit &limit : kept)
         answerAlone(limit, question, share, draw(random), start);
     const TimePoint surge = start + seconds(60);
@@ -350,13 +359,13 @@
 // reason to send there for minutes.
 TEST_CASE("A limit stands for as long as its server, however long ago it was named")
 {
-    BackendBoard board;
-    putBackend(board, entryOf(server), start);
-    noteWord(board.limits, server, {.perSecond = 1, .heardAt = start});
+    BackendRegistry registry;
+    putBackend(registry, entryOf(server), start);
+    noteAdvertisedLimit(registry.limits, server, {.perSecond = 1, .receivedAt = start});
     const TimePoint later = start + std::chrono::hours(1);
-    forgetOldLimits(board, later);
-    REQUIRE_FALSE(isPermitted(board.limits, server, later));
-    removeBackend(board, server);
-    forgetOldLimits(board, later);
-    REQUIRE(board.limits.empty());
+    forgetOldLimits(registry, later);
+    REQUIRE_FALSE(isPermitted(registry.limits, server, later));
+    removeBackend(registry, server);
+    forgetOldLimits(registry, later);
+    REQUIRE(registry.limits.empty());
 }
--- a/Tests/Gateway/MetricsTest.cpp
+++ b/Tests/Gateway/MetricsTest.cpp
@@ -104,7 +104,7 @@
     countRetry(metrics, "s", RetryCause::Moved);
     countStoreCall(metrics, "t", "answered");
     setStoreAge(metrics, "t", milliseconds(1));
-    setPlaces(metrics, {.service = "s"});
+    setSlots(metrics, {.service = "s"});
     setRetriesLeft(metrics, "s", 1);
     setGatewayState(metrics, {});
     GroupSwitch group;
--- a/Tests/Gateway/BoardEntries.h
+++ b/Tests/Gateway/RegistryEntries.h
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <string>
 
-#include "Request/BackendBoard.h"
+#include "Request/BackendRegistry.h"
 
 namespace wisteria::gateway_tests {
 
@@ -20,7 +20,7 @@
 }
 
 /// What a request of that service needs.
-inline BackendWish wishOf()
+inline BackendCriteria criteriaOf()
 {
     return {.service = "s", .tried = {}, .failureDomain = "a"};
 }
--- a/Tests/Gateway/RestartedEnginesTest.cpp
+++ b/Tests/Gateway/RestartedEnginesTest.cpp
@@ -5,7 +5,7 @@
 
 #include "Process/EventLog.h"
 #include "Programs/Gateway/BackendList.h"
-#include "Request/BackendBoard.h"
+#include "Request/BackendRegistry.h"
 
 using namespace wisteria;
 
@@ -14,8 +14,8 @@
 constexpr TimePoint start{seconds(100)};
 constexpr milliseconds readPause{1350};
 constexpr std::uint32_t slots = 10;
-const BackendWish ranksWish{
-    .service = "model", .tried = {}, .fullAt = 2.0, .inGroup = true, .failureDomain = "a"};
+const BackendCriteria ranksCriteria{
+    .service = "model", .tried = {}, .maxLoad = 2.0, .inGroup = true, .failureDomain = "a"};
 
 std::string entryText(const std::string &service, std::uint32_t place)
 {
@@ -54,17 +54,17 @@
         for (const auto &record : unread_)
             list_.take(record, begunAt);
         unread_.clear();
-        noteListRead(board_, begunAt);
+        noteListRead(registry_, begunAt);
     }
 
     /// Sidecars tell at each address whether the group takes work.
     void tell(bool open, TimePoint now)
     {
-        for (auto &[id, state] : board_.backends) {
-            const LoadTold told{.at = now, .open = open};
-            if (noteOpening(board_, state, told))
+        for (auto &[id, state] : registry_.backends) {
+            const BackendLoad load{.at = now, .open = open};
+            if (noteOpening(registry_, state, load))
                 listWanted_ = true;
-            noteLoad(state, told, 0.5);
+            noteLoad(state, load, 0.5);
         }
     }
 
@@ -75,23 +75,23 @@
         std::uint32_t gone = 0;
         for (std::uint32_t i = 0; i < ranks_; ++i) {
             const BackendChoice choice =
-                chooseBackend(board_, ranksWish, now, i / static_cast<double>(ranks_));
+                chooseBackend(registry_, ranksCriteria, now, i / static_cast<double>(ranks_));
             if (choice.backend == nullptr)
                 continue;
-            ++choice.backend->own;
+            ++choice.backend->ownInFlight;
             gone += choice.backend->entry.id.starts_with("old-") ? 1 : 0;
         }
         return gone;
     }
 
-    BackendBoard &board() { return board_; }
+    BackendRegistry &registry() { return registry_; }
     bool listWanted() const { return listWanted_; }
 
 private:
     std::uint32_t ranks_;
-    BackendBoard board_;
+    BackendRegistry registry_;
     EventLog log_{"test", {.least = LogLevel::Error}};
-    BackendList list_{board_, log_, readPause};
+    BackendList list_{registry_, log_, readPause};
     std::vector<platform::KeyedRecord> unread_;
     std::uint64_t nextOffset_ = 0;
     bool listWanted_ = false;
@@ -113,7 +113,7 @@
     restart.readStore(start + milliseconds(1502));
     REQUIRE(restart.sendToGone(start + milliseconds(1510)) == 0);
     // The new engines are known to be open by what was told of their addresses.
-    REQUIRE(chooseBackend(restart.board(), ranksWish, start + milliseconds(1510), 0).backend
+    REQUIRE(chooseBackend(restart.registry(), ranksCriteria, start + milliseconds(1510), 0).backend
             != nullptr);
 }
 
@@ -123,12 +123,12 @@
     Restart restart(63);
     restart.tell(false, start + seconds(1));
     restart.tell(true, start + milliseconds(1500));
-    REQUIRE(chooseBackend(restart.board(), ranksWish, start + milliseconds(1500), 0).why
-            == NoBackend::NotOpen);
-    REQUIRE(
-        chooseBackend(restart.board(), ranksWish, start + milliseconds(1500) + openingReadWait, 0)
-            .backend
-        != nullptr);
+    REQUIRE(chooseBackend(restart.registry(), ranksCriteria, start + milliseconds(1500), 0).reason
+            == NoBackendReason::NotOpen);
+    REQUIRE(chooseBackend(restart.registry(), ranksCriteria,
+                          start + milliseconds(1500) + openingReadWait, 0)
+                .backend
+            != nullptr);
 }
 
 // Guards against sends to an address that another service has by now.
@@ -139,8 +139,8 @@
     restart.registerNew("other");
     restart.readStore(start + milliseconds(100));
     REQUIRE(restart.sendToGone(start + milliseconds(100)) == 0);
-    REQUIRE(chooseBackend(restart.board(), ranksWish, start + milliseconds(100), 0).why
-            == NoBackend::Unknown);
+    REQUIRE(chooseBackend(restart.registry(), ranksCriteria, start + milliseconds(100), 0).reason
+            == NoBackendReason::Unknown);
 }
 
 // Guards against a sound engine left out for good after a late record of one that is gone.
@@ -149,26 +149,26 @@
     Restart restart(1);
     restart.registerNew();
     restart.readStore(start);
-    REQUIRE(restart.board().backends.at("old-0").replaced);
+    REQUIRE(restart.registry().backends.at("old-0").replaced);
     restart.write("old-0", entryText("model", 0));
     restart.readStore(start);
     restart.write("new-0", entryText("model", 0));
     restart.readStore(start);
-    REQUIRE(restart.board().backends.at("old-0").replaced);
-    REQUIRE_FALSE(restart.board().backends.at("new-0").replaced);
+    REQUIRE(restart.registry().backends.at("old-0").replaced);
+    REQUIRE_FALSE(restart.registry().backends.at("new-0").replaced);
 }
 
 // Guards against an engine that is gone being tried again when the store's history is read anew.
 TEST_CASE("A record that is read once more tells nothing new of an engine that is gone")
 {
     Restart restart(1);
-    noteReplaced(restart.board().backends.at("old-0"));
+    noteReplaced(restart.registry().backends.at("old-0"));
     EventLog log("test", {.least = LogLevel::Error});
-    BackendList list(restart.board(), log, readPause);
+    BackendList list(restart.registry(), log, readPause);
     list.take({"old-0", entryText("model", 0), 0}, start);
-    REQUIRE(restart.board().backends.at("old-0").replaced);
+    REQUIRE(restart.registry().backends.at("old-0").replaced);
     list.take({"old-0", entryText("model", 0), 7}, start);
-    REQUIRE_FALSE(restart.board().backends.at("old-0").replaced);
+    REQUIRE_FALSE(restart.registry().backends.at("old-0").replaced);
 }
 
 // Guards against a read of the list by each gateway whenever one rank of an open group reports.
@@ -177,10 +177,10 @@
     Restart restart(63);
     restart.tell(false, start + seconds(1));
     std::uint32_t asked = 0;
-    for (auto &[id, state] : restart.board().backends) {
-        const LoadTold told{.at = start + milliseconds(1500 + asked), .open = true};
-        asked += noteOpening(restart.board(), state, told) ? 1 : 0;
-        noteLoad(state, told, 0.5);
+    for (auto &[id, state] : restart.registry().backends) {
+        const BackendLoad load{.at = start + milliseconds(1500 + asked), .open = true};
+        asked += noteOpening(restart.registry(), state, load) ? 1 : 0;
+        noteLoad(state, load, 0.5);
     }
     REQUIRE(asked == 1);
 }
--- a/Tests/Gateway/ServerLeavingTest.cpp
+++ b/Tests/Gateway/ServerDrainingTest.cpp
@@ -1,8 +1,8 @@
 #include <catch2/catch.hpp>
 
-#include "Gateway/BoardEntries.h"
 #include "Gateway/GatewayFleet.h"
 #include "Gateway/GatewayUnderTest.h"
+#include "Gateway/RegistryEntries.h"
 #include "platform/RequestCodec.h"
 
 using namespace wisteria;
@@ -28,12 +28,12 @@
     const auto leavingIn = [](const std::string &value) {
         HttpResponseHead head;
         head.fields = {{"Server-Leaving", value}};
-        return platform::decodeAnswerHead(head).leaving;
+        return platform::decodeAnswerHead(head).draining;
     };
     REQUIRE(leavingIn("1"));
     REQUIRE_FALSE(leavingIn("0"));
     REQUIRE_FALSE(leavingIn(""));
-    REQUIRE_FALSE(platform::decodeAnswerHead(HttpResponseHead()).leaving);
+    REQUIRE_FALSE(platform::decodeAnswerHead(HttpResponseHead()).draining);
 }
 
 // Guards against a server that leaves getting work again by an entry that was written before, or
@@ -41,16 +41,16 @@
 TEST_CASE("No entry brings a server back that said that it leaves, but its restart does")
 {
     constexpr TimePoint start{seconds(100)};
-    BackendBoard board;
-    putBackend(board, entryOf("i-1", 1), start);
-    REQUIRE(noteLeaving(board, "i-1", start));
-    REQUIRE_FALSE(noteLeaving(board, "i-1", start));
-    putBackend(board, entryOf("i-1", 1), start);
-    removeBackend(board, "i-1");
-    putBackend(board, entryOf("i-1", 1), start + seconds(10));
-    REQUIRE(chooseBackend(board, wishOf(), start + seconds(10), 0).backend == nullptr);
-    putBackend(board, entryOf("i-1", 2), start + seconds(10));
-    REQUIRE(chooseBackend(board, wishOf(), start + seconds(10), 0).backend != nullptr);
+    BackendRegistry registry;
+    putBackend(registry, entryOf("i-1", 1), start);
+    REQUIRE(noteDraining(registry, "i-1", start));
+    REQUIRE_FALSE(noteDraining(registry, "i-1", start));
+    putBackend(registry, entryOf("i-1", 1), start);
+    removeBackend(registry, "i-1");
+    putBackend(registry, entryOf("i-1", 1), start + seconds(10));
+    REQUIRE(chooseBackend(registry, criteriaOf(), start + seconds(10), 0).backend == nullptr);
+    putBackend(registry, entryOf("i-1", 2), start + seconds(10));
+    REQUIRE(chooseBackend(registry, criteriaOf(), start + seconds(10), 0).backend != nullptr);
 }
 
 // Guards against a server that is never used again as it started under its id while its entry was
@@ -58,14 +58,14 @@
 TEST_CASE("A server that left and starts again under its id is a new one")
 {
     constexpr TimePoint start{seconds(100)};
-    BackendBoard board;
-    putBackend(board, entryOf("i-1", 1), start);
-    noteLeaving(board, "i-1", start);
-    noteRest(board, "i-1", start + seconds(100), start);
-    noteWord(board.limits, "i-1", {.perSecond = 1, .heardAt = start});
-    removeBackend(board, "i-1");
-    putBackend(board, entryOf("i-1", 2), start + seconds(5));
-    REQUIRE(chooseBackend(board, wishOf(), start + seconds(5), 0).backend != nullptr);
+    BackendRegistry registry;
+    putBackend(registry, entryOf("i-1", 1), start);
+    noteDraining(registry, "i-1", start);
+    noteBackoff(registry, "i-1", start + seconds(100), start);
+    noteAdvertisedLimit(registry.limits, "i-1", {.perSecond = 1, .receivedAt = start});
+    removeBackend(registry, "i-1");
+    putBackend(registry, entryOf("i-1", 2), start + seconds(5));
+    REQUIRE(chooseBackend(registry, criteriaOf(), start + seconds(5), 0).backend != nullptr);
 }
 
 // Guards against requests to a server that ends soon, where only its own answers tell so.
--- a/Tests/Version/CountsCollectionTest.cpp
+++ b/Tests/Version/CountsCollectionTest.cpp
@@ -68,7 +68,7 @@
 double skewFromCountsOf(std::size_t ranks, std::uint64_t seed)
 {
     Prompts prompts(seed);
-    const std::vector<double> paces(rankCount, 1.0);
+    const std::vector<double> slowdowns(rankCount, 1.0);
     CountsCollection collection{.asker = {}, .since = {}, .awaited = ranks, .sum = {}};
     for (std::size_t rank = 0; rank < ranks; ++rank)
         addCounts(collection, toldBy(1, prompts.countsOfRank()));
@@ -76,11 +76,11 @@
     addCounts(demand, profile, collection.sum.counts);
     RankMap map = firstRankMap(profile, rankCount);
     for (int change = 0; change < 3; ++change) {
-        const auto proposal = proposeMap(profile, demand, map, paces, {});
+        const auto proposal = proposeMap(profile, demand, map, slowdowns, {});
         if (proposal)
             map = proposal->map;
     }
-    return demandSkew(prompts.demand(), map, paces);
+    return demandSkew(prompts.demand(), map, slowdowns);
 }
 
 } // namespace
--- a/Tests/Version/DemandPlacementTest.cpp
+++ b/Tests/Version/DemandPlacementTest.cpp
@@ -63,15 +63,15 @@
 
 TEST_CASE("A shift of demand is met within two changes of the map")
 {
-    const std::vector<double> paces(rankCount, 1.0);
+    const std::vector<double> slowdowns(rankCount, 1.0);
     constexpr std::uint64_t seeds = 20;
     double sum = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         const ExpertDemand demand = skewedDemand(seed);
         RankMap map = firstMap();
-        const double before = demandSkew(demand, map, paces);
+        const double before = demandSkew(demand, map, slowdowns);
         for (int change = 0; change < 2; ++change) {
-            const auto proposal = proposeMap(profile, demand, map, paces, {});
+            const auto proposal = proposeMap(profile, demand, map, slowdowns, {});
             if (!proposal)
                 break;
             REQUIRE(keepsRules(map, proposal->map));
@@ -79,8 +79,8 @@
             map = proposal->map;
         }
         CAPTURE(seed, before);
-        REQUIRE(demandSkew(demand, map, paces) < 1.45);
-        sum += demandSkew(demand, map, paces);
+        REQUIRE(demandSkew(demand, map, slowdowns) < 1.45);
+        sum += demandSkew(demand, map, slowdowns);
     }
     REQUIRE(sum / seeds < 1.3);
 }
@@ -93,20 +93,20 @@
     for (auto &set : demand.loads)
         std::fill(set.begin(), set.end(), 1000.0);
     demand.loads[0][0] = 1400;
-    const std::vector<double> paces(rankCount, 1.0);
-    REQUIRE_FALSE(proposeMap(profile, demand, firstMap(), paces, {}));
+    const std::vector<double> slowdowns(rankCount, 1.0);
+    REQUIRE_FALSE(proposeMap(profile, demand, firstMap(), slowdowns, {}));
 }
 
 // Every stream of a group gets one event a second for as long as one rank is slow. All ranks wait
 // for it in each pass, for the experts that it holds as well.
 TEST_CASE("A rank at a twelfth of its speed gives all its experts away")
 {
-    std::vector<double> paces(rankCount, 1.0);
-    paces[5] = 12;
+    std::vector<double> slowdowns(rankCount, 1.0);
+    slowdowns[5] = 12;
     const ExpertDemand demand = skewedDemand(4);
     RankMap map = firstMap();
     for (int change = 0; change < 4; ++change) {
-        const auto proposal = proposeMap(profile, demand, map, paces, {});
+        const auto proposal = proposeMap(profile, demand, map, slowdowns, {});
         if (!proposal)
             break;
         REQUIRE(keepsRules(map, proposal->map));
@@ -114,7 +114,7 @@
     }
     for (const auto &set : map)
         REQUIRE(set[5].empty());
-    REQUIRE(demandSkew(demand, map, paces) < 1.45);
+    REQUIRE(demandSkew(demand, map, slowdowns) < 1.45);
 }
 
 TEST_CASE("Old demand fades")
@@ -219,7 +219,7 @@
                               .loadsPerMap = 2,
                               .loadMilliseconds = 14.2};
     constexpr std::size_t ranks = 63;
-    const std::vector<double> paces(ranks, 1.0);
+    const std::vector<double> slowdowns(ranks, 1.0);
     std::mt19937_64 random(3);
     ExpertDemand demand;
     demand.loads.assign(large.sets, std::vector<double>(large.expertsPerSet));
@@ -233,7 +233,7 @@
     RankMap map = firstRankMap(large, ranks);
     for (int shifts = 0; shifts < 4; ++shifts) {
         shift();
-        const auto proposal = proposeMap(large, demand, map, paces, {});
+        const auto proposal = proposeMap(large, demand, map, slowdowns, {});
         REQUIRE(proposal);
         CAPTURE(shifts, proposal->searchedTerms, proposal->skewBefore, proposal->skewAfter);
         REQUIRE(proposal->skewBefore > 3);
--- a/Tests/Version/FleetTrafficTest.cpp
+++ b/Tests/Version/FleetTrafficTest.cpp
@@ -7,7 +7,7 @@
 #include "Version/LeaderChoice.h"
 #include "Version/OrderRetry.h"
 #include "Version/RelayPlan.h"
-#include "Version/ToldLoad.h"
+#include "Version/SentLoad.h"
 
 using namespace wisteria;
 
@@ -77,7 +77,7 @@
     constexpr milliseconds reportPeriod{25};
     constexpr int reports = 400;
     std::mt19937_64 random(3);
-    ToldLoad told;
+    SentLoad sent;
     std::uint32_t messages = 0;
     milliseconds longestUntold{0};
     EngineLoad load{.engine = {1, 2}, .running = 4, .gateways = gatewayCount};
@@ -89,33 +89,33 @@
             load.running = load.running == 4 ? 5 : 4;
             sameSince = now;
         }
-        if (isWorthTelling(told, load, now)) {
-            told = {.load = load, .at = now};
+        if (shouldReport(sent, load, now)) {
+            sent = {.load = load, .at = now};
             ++messages;
         }
-        if (load != told.load)
+        if (load != sent.load)
             longestUntold = std::max(longestUntold, remaining(sameSince, now));
     }
     constexpr int lengthSeconds = 10;
     REQUIRE(messages <= 6 * lengthSeconds);
     REQUIRE(messages >= 3 * lengthSeconds);
-    REQUIRE(longestUntold < loadPeriod);
+    REQUIRE(longestUntold < loadReportInterval);
 }
 
 TEST_CASE("A group that opens or closes is told at once")
 {
     const TimePoint now{seconds(100)};
     EngineLoad load{.engine = {1, 2}, .running = 4};
-    REQUIRE(isWorthTelling({}, load, now));
-    const ToldLoad told{.load = load, .at = now};
-    REQUIRE_FALSE(isWorthTelling(told, load, now + milliseconds(1)));
+    REQUIRE(shouldReport({}, load, now));
+    const SentLoad sent{.load = load, .at = now};
+    REQUIRE_FALSE(shouldReport(sent, load, now + milliseconds(1)));
     load.open = false;
-    REQUIRE(isWorthTelling(told, load, now + milliseconds(1)));
+    REQUIRE(shouldReport(sent, load, now + milliseconds(1)));
     load.open = true;
-    load.pace = 1.04;
-    REQUIRE_FALSE(isWorthTelling(told, load, now + loadPeriod));
-    load.pace = 2;
-    REQUIRE(isWorthTelling(told, load, now + loadPeriod));
+    load.slowdown = 1.04;
+    REQUIRE_FALSE(shouldReport(sent, load, now + loadReportInterval));
+    load.slowdown = 2;
+    REQUIRE(shouldReport(sent, load, now + loadReportInterval));
 }
 
 namespace {
