--- a/Source/Programs/Gateway/Exchange.cpp
+++ b/Source/Programs/Gateway/Exchange.cpp
@@ -84,7 +84,7 @@
     if (choice.backend != nullptr) {
         stopWaiting();
         noteDispatched(context_.admissionQueues[service_], now);
-        wantPermit(context_.registry.limits, choice.preferredAtLimit, now);
+        markPermitWanted(context_.registry.limits, choice.preferredAtLimit, now);
         send(*choice.backend, now);
         return true;
     }
@@ -98,7 +98,7 @@
             {.arrived = arrived_, .deadline = deadline_, .targetLatency = route_.targetLatency}));
     const bool mayWait = queued_ || waitIsWorthIt(choice, now);
     if (now < waitUntil_ && mayWait) {
-        wantPermit(context_.registry.limits, choice.preferredAtLimit, now);
+        markPermitWanted(context_.registry.limits, choice.preferredAtLimit, now);
         startWaiting();
         return false;
     }
@@ -145,7 +145,7 @@
     backendId_ = backend.entry.id;
     tried_.push_back(backendId_);
     ++backend.ownInFlight;
-    takePermit(context_.registry.limits, backendId_, now);
+    consumePermit(context_.registry.limits, backendId_, now);
     sentAt_ = now;
     lastByteAt_ = now;
     head_ = {};
--- a/Source/Programs/Gateway/Gateway.cpp
+++ b/Source/Programs/Gateway/Gateway.cpp
@@ -181,12 +181,12 @@
         }
         if (const auto *load = std::get_if<EngineLoad>(&message.value()))
             takeLoad(*load);
-        else if (std::holds_alternative<EngineListWanted>(message.value()))
-            hellos_.tellList(from);
-        else if (const auto *asked = std::get_if<PermitAsked>(&message.value()))
-            permits_->take(from, *asked, monotonicNow());
-        else if (const auto *told = std::get_if<PermitTold>(&message.value()))
-            takePermit(from, *told);
+        else if (std::holds_alternative<EngineListRequest>(message.value()))
+            hellos_.sendEngineList(from);
+        else if (const auto *permitRequest = std::get_if<PermitRequestMessage>(&message.value()))
+            permits_->receive(from, *permitRequest, monotonicNow());
+        else if (const auto *permitReply = std::get_if<PermitReplyMessage>(&message.value()))
+            receivePermitReply(from, *permitReply);
     }
 
     void takeLoad(const EngineLoad &load)
@@ -208,9 +208,9 @@
         serveWaitingSoon();
     }
 
-    void takePermit(const Endpoint &from, const PermitTold &told)
+    void receivePermitReply(const Endpoint &from, const PermitReplyMessage &message)
     {
-        if (permits_->take(from, told, monotonicNow()))
+        if (permits_->receive(from, message, monotonicNow()))
             serveWaitingSoon();
     }
 
@@ -336,9 +336,9 @@
             if (found != sessions_.end())
                 found->second->checkTime(now);
         }
-        hellos_.say(now);
+        hellos_.sendDue(now);
         directory_->checkTime(now);
-        if (permits_->ask(now))
+        if (permits_->requestPermits(now))
             serveWaitingSoon();
         configurationWatch_->checkTime(now);
         backendsWatch_->checkTime(now);
--- a/Source/Programs/Gateway/GatewayDirectory.h
+++ b/Source/Programs/Gateway/GatewayDirectory.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "Programs/Gateway/StoreWatch.h"
-#include "Request/LimitKeepers.h"
+#include "Request/LimitOwners.h"
 
 namespace wisteria {
 
--- a/Source/Programs/Gateway/LimitPermits.cpp
+++ b/Source/Programs/Gateway/LimitPermits.cpp
@@ -28,96 +28,98 @@
     : context_(context), peers_(peers), directory_(directory)
 { }
 
-bool LimitPermits::ask(TimePoint now)
+bool LimitPermits::requestPermits(TimePoint now)
 {
     ServerLimits &limits = context_.registry.limits;
     forgetOldLimits(context_.registry, now);
-    forgetOldLimits(kept_, now);
-    std::vector<PermitQuestion> due;
+    forgetOldLimits(ownedLimits_, now);
+    std::vector<PermitRequest> due;
     for (const auto &[id, limit] : limits) {
-        if (auto question = questionDue(limits, id, now))
-            due.push_back(std::move(*question));
+        if (auto request = nextPermitRequest(limits, id, now))
+            due.push_back(std::move(*request));
     }
     bool permitted = false;
-    for (const PermitQuestion &question : due)
-        permitted = ask(question, now) || permitted;
+    for (const PermitRequest &request : due)
+        permitted = requestPermit(request, now) || permitted;
     return permitted;
 }
 
-bool LimitPermits::ask(const PermitQuestion &question, TimePoint now)
+bool LimitPermits::requestPermit(const PermitRequest &request, TimePoint now)
 {
     PeerGateways &gateways = directory_.gateways();
-    const auto keeper = keeperOf(gateways, question.server, now);
-    KeptLimit &kept = kept_[question.server];
+    const auto owner = limitOwnerOf(gateways, request.server, now);
+    OwnedLimit &owned = ownedLimits_[request.server];
     // Without a word of the others, each of as many as there may be grants itself its part.
-    if (!keeper) {
+    if (!owner) {
         const double share = usedAlone / assumedGateways(context_.retryQuota);
-        return takeOwn(answerAlone(kept, question, share, context_.randomUnit(), now), now);
+        return applyOwnReply(answerWithoutPeers(owned, request, share, context_.randomUnit(), now),
+                             now);
     }
-    if (*keeper == directory_.self())
-        return takeOwn(answerQuestion(kept, question, now), now);
-    send(gateways.at(*keeper), question, now);
-    tryAgain(question, now);
+    if (*owner == directory_.self())
+        return applyOwnReply(answerPermitRequest(owned, request, now), now);
+    send(gateways.at(*owner), request, now);
+    probeUnresponsive(request, now);
     return false;
 }
 
 /// Asks silent gateways whether they are back; one that is keeps its limits again.
-void LimitPermits::tryAgain(const PermitQuestion &question, TimePoint now)
+void LimitPermits::probeUnresponsive(const PermitRequest &request, TimePoint now)
 {
-    const PermitQuestion nothing{.server = question.server, .advertised = question.advertised};
+    const PermitRequest nothing{.server = request.server, .advertised = request.advertised};
     for (auto &[name, gateway] : directory_.gateways()) {
-        if (shouldTryAgain(gateway, now))
+        if (shouldProbe(gateway, now))
             send(gateway, nothing, now);
     }
 }
 
-void LimitPermits::send(PeerGateway &gateway, const PermitQuestion &question, TimePoint now)
+void LimitPermits::send(PeerGateway &gateway, const PermitRequest &request, TimePoint now)
 {
-    const bool wasSilent = isSilent(gateway, now);
-    noteAsked(gateway, now);
-    if (!wasSilent && isSilent(gateway, now))
+    const bool wasUnresponsive = isUnresponsive(gateway, now);
+    noteRequestSent(gateway, now);
+    if (!wasUnresponsive && isUnresponsive(gateway, now))
         context_.log.warn("gateway.silent", {{"address", toText(gateway.address)}});
-    peers_.send(gateway.address,
-                encodeMessage(PermitAsked{.server = question.server,
-                                          .wanted = question.wanted,
-                                          .number = question.number,
-                                          .perSecond = question.advertised.perSecond,
-                                          .ageMilliseconds = ageOf(question.advertised, now)}));
+    peers_.send(
+        gateway.address,
+        encodeMessage(PermitRequestMessage{.server = request.server,
+                                           .wanted = request.wanted,
+                                           .number = request.number,
+                                           .perSecond = request.advertised.perSecond,
+                                           .ageMilliseconds = ageOf(request.advertised, now)}));
 }
 
-bool LimitPermits::takeOwn(const PermitAnswer &answer, TimePoint now)
+bool LimitPermits::applyOwnReply(const PermitReply &reply, TimePoint now)
 {
-    return takeAnswer(context_.registry.limits, answer, now);
+    return applyPermitReply(context_.registry.limits, reply, now);
 }
 
-void LimitPermits::take(const Endpoint &from, const PermitAsked &asked, TimePoint now)
+void LimitPermits::receive(const Endpoint &from, const PermitRequestMessage &message, TimePoint now)
 {
-    const PermitQuestion question{
-        .server = asked.server,
-        .wanted = asked.wanted,
-        .number = asked.number,
-        .advertised = advertisedLimitOf(asked.perSecond, asked.ageMilliseconds, now)};
-    const PermitAnswer answer = answerQuestion(kept_[asked.server], question, now);
+    const PermitRequest request{
+        .server = message.server,
+        .wanted = message.wanted,
+        .number = message.number,
+        .advertised = advertisedLimitOf(message.perSecond, message.ageMilliseconds, now)};
+    const PermitReply reply = answerPermitRequest(ownedLimits_[message.server], request, now);
     peers_.send(from,
-                encodeMessage(PermitTold{.server = answer.server,
-                                         .number = answer.number,
-                                         .granted = answer.granted,
-                                         .nextInMilliseconds =
-                                             static_cast<std::uint32_t>(answer.nextIn.count()),
-                                         .perSecond = answer.advertised.perSecond,
-                                         .ageMilliseconds = ageOf(answer.advertised, now)}));
+                encodeMessage(PermitReplyMessage{
+                    .server = reply.server,
+                    .number = reply.number,
+                    .granted = reply.granted,
+                    .nextInMilliseconds = static_cast<std::uint32_t>(reply.nextIn.count()),
+                    .perSecond = reply.advertised.perSecond,
+                    .ageMilliseconds = ageOf(reply.advertised, now)}));
 }
 
-bool LimitPermits::take(const Endpoint &from, const PermitTold &told, TimePoint now)
+bool LimitPermits::receive(const Endpoint &from, const PermitReplyMessage &message, TimePoint now)
 {
-    noteHeard(directory_.gateways(), from);
-    const PermitAnswer answer{.server = told.server,
-                              .number = told.number,
-                              .granted = told.granted,
-                              .nextIn = milliseconds(told.nextInMilliseconds),
-                              .advertised =
-                                  advertisedLimitOf(told.perSecond, told.ageMilliseconds, now)};
-    return takeAnswer(context_.registry.limits, answer, now);
+    noteMessageReceived(directory_.gateways(), from);
+    const PermitReply reply{.server = message.server,
+                            .number = message.number,
+                            .granted = message.granted,
+                            .nextIn = milliseconds(message.nextInMilliseconds),
+                            .advertised =
+                                advertisedLimitOf(message.perSecond, message.ageMilliseconds, now)};
+    return applyPermitReply(context_.registry.limits, reply, now);
 }
 
 } // namespace wisteria
--- a/Source/Programs/Gateway/LimitPermits.h
+++ b/Source/Programs/Gateway/LimitPermits.h
@@ -19,22 +19,22 @@
 
     /// Asks where a question is due.
     /// @return Whether a request may now be sent that could not be before.
-    bool ask(TimePoint now);
-    void take(const Endpoint &from, const PermitAsked &asked, TimePoint now);
-    /// @return As `ask` does.
-    bool take(const Endpoint &from, const PermitTold &told, TimePoint now);
+    bool requestPermits(TimePoint now);
+    void receive(const Endpoint &from, const PermitRequestMessage &message, TimePoint now);
+    /// @return As `requestPermits` does.
+    bool receive(const Endpoint &from, const PermitReplyMessage &message, TimePoint now);
 
 private:
-    bool ask(const PermitQuestion &question, TimePoint now);
-    void tryAgain(const PermitQuestion &question, TimePoint now);
-    void send(PeerGateway &gateway, const PermitQuestion &question, TimePoint now);
-    bool takeOwn(const PermitAnswer &answer, TimePoint now);
+    bool requestPermit(const PermitRequest &request, TimePoint now);
+    void probeUnresponsive(const PermitRequest &request, TimePoint now);
+    void send(PeerGateway &gateway, const PermitRequest &request, TimePoint now);
+    bool applyOwnReply(const PermitReply &reply, TimePoint now);
 
     GatewayContext &context_;
     DatagramSocket &peers_;
     GatewayDirectory &directory_;
     /// Limits that this gateway keeps, by backend server.
-    KeptLimits kept_;
+    OwnedLimits ownedLimits_;
 };
 
 } // namespace wisteria
--- a/Source/Programs/Gateway/SidecarHellos.cpp
+++ b/Source/Programs/Gateway/SidecarHellos.cpp
@@ -35,44 +35,44 @@
     : context_(context), peers_(peers), port_(port)
 { }
 
-void SidecarHellos::say(TimePoint now)
+void SidecarHellos::sendDue(TimePoint now)
 {
     if (!context_.canAdmit())
         return;
-    const bool toAll = now - saidToAllAt_ >= helloPeriod;
-    if (!toAll && now - saidAt_ < firstHelloPeriod)
+    const bool toAll = now - sentToAllAt_ >= helloPeriod;
+    if (!toAll && now - sentAt_ < firstHelloPeriod)
         return;
-    saidAt_ = now;
+    sentAt_ = now;
     if (toAll)
-        saidToAllAt_ = now;
+        sentToAllAt_ = now;
     for (const auto &[name, service] : context_.routes->configuration().services) {
         if (isGroup(service))
-            sayTo(name, *service.engine, toAll, now);
+            sendHello(name, *service.engine, toAll, now);
     }
 }
 
 /// @param toAll To all sidecars, or to those only that have not answered yet.
-void SidecarHellos::sayTo(const std::string &service, const EngineProfile &engine, bool toAll,
-                          TimePoint now)
+void SidecarHellos::sendHello(const std::string &service, const EngineProfile &engine, bool toAll,
+                              TimePoint now)
 {
-    const std::vector<Endpoint> unheard = unheardEngines(service, now);
-    if (!toAll && unheard.empty())
+    const std::vector<Endpoint> silent = silentEngines(service, now);
+    if (!toAll && silent.empty())
         return;
     const EngineList list = engineListOf(service, engine);
     const std::string bytes = encodeMessage(GatewayHello{.listDigest = digestOf(list)});
-    for (const Endpoint &address : toAll ? list.engines : unheard)
+    for (const Endpoint &address : toAll ? list.engines : silent)
         peers_.send({address.ip, port_}, bytes);
 }
 
-std::vector<Endpoint> SidecarHellos::unheardEngines(const std::string &service, TimePoint now) const
+std::vector<Endpoint> SidecarHellos::silentEngines(const std::string &service, TimePoint now) const
 {
-    std::vector<Endpoint> unheard;
+    std::vector<Endpoint> silent;
     for (const auto &[id, state] : context_.registry.backends) {
         const bool awaited = !state.reportedLoad && now - state.since < firstHellosFor;
         if (awaited && state.entry.service == service && !state.replaced)
-            unheard.push_back(state.entry.address);
+            silent.push_back(state.entry.address);
     }
-    return unheard;
+    return silent;
 }
 
 EngineList SidecarHellos::engineListOf(const std::string &service,
@@ -88,7 +88,7 @@
     return list;
 }
 
-void SidecarHellos::tellList(const Endpoint &sidecar)
+void SidecarHellos::sendEngineList(const Endpoint &sidecar)
 {
     if (!context_.routes)
         return;
--- a/Source/Programs/Gateway/SidecarHellos.h
+++ b/Source/Programs/Gateway/SidecarHellos.h
@@ -18,20 +18,21 @@
     SidecarHellos(const GatewayContext &context, DatagramSocket &peers, std::uint16_t port);
 
     /// Says hello to those that are due: which list of engines this gateway has.
-    void say(TimePoint now);
+    void sendDue(TimePoint now);
     /// Answers a sidecar with the list of its engine's service.
-    void tellList(const Endpoint &sidecar);
+    void sendEngineList(const Endpoint &sidecar);
 
 private:
-    void sayTo(const std::string &service, const EngineProfile &engine, bool toAll, TimePoint now);
-    std::vector<Endpoint> unheardEngines(const std::string &service, TimePoint now) const;
+    void sendHello(const std::string &service, const EngineProfile &engine, bool toAll,
+                   TimePoint now);
+    std::vector<Endpoint> silentEngines(const std::string &service, TimePoint now) const;
     EngineList engineListOf(const std::string &service, const EngineProfile &engine) const;
 
     const GatewayContext &context_;
     DatagramSocket &peers_;
     std::uint16_t port_;
-    TimePoint saidToAllAt_;
-    TimePoint saidAt_;
+    TimePoint sentToAllAt_;
+    TimePoint sentAt_;
 };
 
 } // namespace wisteria
--- a/Source/Programs/Sidecar/EngineLink.cpp
+++ b/Source/Programs/Sidecar/EngineClient.cpp
@@ -1,4 +1,4 @@
-#include "Programs/Sidecar/EngineLink.h"
+#include "Programs/Sidecar/EngineClient.h"
 
 #include <utility>
 
@@ -26,22 +26,23 @@
 
 } // namespace
 
-EngineLink::EngineLink(HttpClientPool &pool) : calls_(pool) { }
+EngineClient::EngineClient(HttpClientPool &pool) : calls_(pool) { }
 
-void EngineLink::readReport(const Endpoint &engine, std::function<void(Result<RankReport>)> done)
+void EngineClient::readReport(const Endpoint &engine, std::function<void(Result<RankReport>)> done)
 {
     calls_.start(engine, platform::reportRequest(), readTimeout,
                  decoded<RankReport>(std::move(done), platform::decodeReport), monotonicNow());
 }
 
-void EngineLink::readCounts(const Endpoint &engine, std::function<void(Result<ExpertCounts>)> done)
+void EngineClient::readCounts(const Endpoint &engine,
+                              std::function<void(Result<ExpertCounts>)> done)
 {
     calls_.start(engine, platform::expertCountsRequest(), readTimeout,
                  decoded<ExpertCounts>(std::move(done), platform::decodeExpertCounts),
                  monotonicNow());
 }
 
-void EngineLink::readExperts(
+void EngineClient::readExperts(
     const Endpoint &engine,
     std::function<void(Result<std::vector<std::vector<std::uint32_t>>>)> done)
 {
@@ -51,8 +52,8 @@
                  monotonicNow());
 }
 
-void EngineLink::order(const Endpoint &engine, const RankOrder &order,
-                       std::function<void(Result<void>)> done)
+void EngineClient::order(const Endpoint &engine, const RankOrder &order,
+                         std::function<void(Result<void>)> done)
 {
     calls_.start(engine, platform::orderRequest(order), orderTimeout,
                  decoded<void>(std::move(done), platform::decodeOrderAnswer), monotonicNow());
--- a/Source/Programs/Sidecar/EngineLink.h
+++ b/Source/Programs/Sidecar/EngineClient.h
@@ -9,10 +9,10 @@
 namespace wisteria {
 
 /// Calls to model engines: reports, counts, lists and orders.
-class EngineLink
+class EngineClient
 {
 public:
-    explicit EngineLink(HttpClientPool &pool);
+    explicit EngineClient(HttpClientPool &pool);
 
     void readReport(const Endpoint &engine, std::function<void(Result<RankReport>)> done);
     void readCounts(const Endpoint &engine, std::function<void(Result<ExpertCounts>)> done);
--- a/Source/Programs/Sidecar/GroupLeader.cpp
+++ b/Source/Programs/Sidecar/GroupLeader.cpp
@@ -67,10 +67,11 @@
 
 } // namespace
 
-GroupLeader::GroupLeader(EngineLink &engines, EventLog &log, Metrics &metrics, LeaderLinks links,
-                         const RelayLink &link, Endpoint ownEngine)
-    : engines_(engines), log_(log), metrics_(metrics), links_(std::move(links)), link_(link),
-      ownEngine_(ownEngine)
+GroupLeader::GroupLeader(EngineClient &engines, EventLog &log, Metrics &metrics,
+                         LeaderTransport transport, const LinkBandwidth &bandwidth,
+                         Endpoint ownEngine)
+    : engines_(engines), log_(log), metrics_(metrics), transport_(std::move(transport)),
+      bandwidth_(bandwidth), ownEngine_(ownEngine)
 { }
 
 void GroupLeader::setEngines(const std::vector<Endpoint> &engines, const ExpertProfile &profile)
@@ -78,26 +79,26 @@
     members_ = engines;
     profile_ = profile;
     const std::size_t bytes = encodedCountsBytes(std::size_t{profile.sets} * profile.expertsPerSet);
-    const milliseconds gathered = gatherTime(engines.size(), bytes, link_);
+    const milliseconds gathered = gatherTime(engines.size(), bytes, bandwidth_);
     timing_.countsWindow = gathered + countsDelay;
     countsPeriod_ = std::max(
         countsPeriod, std::chrono::duration_cast<milliseconds>(gathered * countsPeriodShare));
 }
 
-void GroupLeader::takeStatus(const RankStatus &status, TimePoint now)
+void GroupLeader::applyStatus(const RankStatus &status, TimePoint now)
 {
-    heardAt_[status.engine] = now;
+    lastReceivedAt_[status.engine] = now;
     if (status.report.group.empty())
         return;
     wisteria::takeStatus(groups_[status.report.group], status, now);
 }
 
-void GroupLeader::takeCounts(const CountsTold &told, TimePoint now)
+void GroupLeader::applyCounts(const CountsReply &reply, TimePoint now)
 {
-    const auto group = groups_.find(told.group);
+    const auto group = groups_.find(reply.group);
     if (group == groups_.end())
         return;
-    takeDemand(group->second, profile_, timing_, told, now);
+    takeDemand(group->second, profile_, timing_, reply, now);
 }
 
 void GroupLeader::work(TimePoint now)
@@ -119,17 +120,17 @@
 {
     for (auto &[name, group] : groups_)
         forgetRanks(group);
-    heardAt_.clear();
+    lastReceivedAt_.clear();
     leadsSince_ = TimePoint();
 }
 
 void GroupLeader::poll(TimePoint now)
 {
     pollRanks(now);
-    if (now - askedCountsAt_ < countsPeriod_)
+    if (now - requestedCountsAt_ < countsPeriod_)
         return;
-    askedCountsAt_ = now;
-    links_.askCounts(lastHeardFirst(members_));
+    requestedCountsAt_ = now;
+    transport_.requestCounts(mostRecentFirst(members_));
 }
 
 milliseconds GroupLeader::rankPollPeriod() const
@@ -152,19 +153,20 @@
         const std::vector<std::uint64_t> known = knownMaps(group);
         poll.knownMaps.insert(poll.knownMaps.end(), known.begin(), known.end());
     }
-    links_.sendAll(members_, poll);
+    transport_.sendAll(members_, poll);
 }
 
 /// Puts the engines first that are surely there: they may have to pass messages on.
-std::vector<Endpoint> GroupLeader::lastHeardFirst(std::vector<Endpoint> engines) const
+std::vector<Endpoint> GroupLeader::mostRecentFirst(std::vector<Endpoint> engines) const
 {
-    const auto heardAt = [this](const Endpoint &engine) {
-        const auto found = heardAt_.find(engine);
-        return found == heardAt_.end() ? TimePoint() : found->second;
+    const auto lastReceivedAt = [this](const Endpoint &engine) {
+        const auto found = lastReceivedAt_.find(engine);
+        return found == lastReceivedAt_.end() ? TimePoint() : found->second;
     };
-    std::stable_sort(
-        engines.begin(), engines.end(),
-        [&heardAt](const Endpoint &a, const Endpoint &b) { return heardAt(a) > heardAt(b); });
+    std::stable_sort(engines.begin(), engines.end(),
+                     [&lastReceivedAt](const Endpoint &a, const Endpoint &b) {
+                         return lastReceivedAt(a) > lastReceivedAt(b);
+                     });
     return engines;
 }
 
@@ -201,7 +203,7 @@
         batch.engines.push_back(action.engine);
     }
     for (const Batch &batch : batches)
-        links_.sendAll(lastHeardFirst(batch.engines), commandFor(name, *batch.first));
+        transport_.sendAll(mostRecentFirst(batch.engines), commandFor(name, *batch.first));
 }
 
 void GroupLeader::orderDirectly(const std::string &name, const SwitchAction &action)
@@ -247,7 +249,7 @@
         return;
     directRoundAt_ = now;
     std::vector<Endpoint> silent = silentEngines(now);
-    noteTouch(silent.size());
+    noteReachability(silent.size());
     const std::size_t asked = std::min(silent.size(), directReadsAtOnce);
     // Each in its turn, so that one that never answers does not keep the others waiting.
     const auto askedBefore = [this](const Endpoint &a, const Endpoint &b) {
@@ -264,8 +266,8 @@
 {
     std::vector<Endpoint> silent;
     for (const Endpoint &engine : members_) {
-        const auto heard = heardAt_.find(engine);
-        if (heard == heardAt_.end() || now - heard->second > silentAfter)
+        const auto received = lastReceivedAt_.find(engine);
+        if (received == lastReceivedAt_.end() || now - received->second > silentAfter)
             silent.push_back(engine);
     }
     return silent;
@@ -273,13 +275,13 @@
 
 /// Tells when the leader begins and ceases to hear fewer than half of the ranks: it is then its own
 /// link or processor that is behind, or all others have stopped.
-void GroupLeader::noteTouch(std::size_t silent)
+void GroupLeader::noteReachability(std::size_t silent)
 {
-    const bool outOfTouch = silent > members_.size() / 2;
-    if (outOfTouch == outOfTouch_)
+    const bool isolated = silent > members_.size() / 2;
+    if (isolated == isolated_)
         return;
-    outOfTouch_ = outOfTouch;
-    log_.warn(outOfTouch ? "leader.out_of_touch" : "leader.in_touch",
+    isolated_ = isolated;
+    log_.warn(isolated ? "leader.out_of_touch" : "leader.in_touch",
               {{"members", members_.size()}, {"silent", silent}});
 }
 
--- a/Source/Programs/Sidecar/RankOrders.cpp
+++ b/Source/Programs/Sidecar/RankOrderExecutor.cpp
@@ -1,4 +1,4 @@
-#include "Programs/Sidecar/RankOrders.h"
+#include "Programs/Sidecar/RankOrderExecutor.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,18 +17,18 @@
 
 } // namespace
 
-RankOrders::RankOrders(EngineLink &engines, EventLog &log, Metrics &metrics, Endpoint engine,
-                       std::function<void()> ended)
+RankOrderExecutor::RankOrderExecutor(EngineClient &engines, EventLog &log, Metrics &metrics,
+                                     Endpoint engine, std::function<void()> ended)
     : engines_(engines), log_(log), metrics_(metrics), engine_(engine), ended_(std::move(ended))
 { }
 
-void RankOrders::take(const RankCommand &command, const Endpoint &leader,
-                      const ExpertProfile &profile, std::size_t groupSize)
+void RankOrderExecutor::execute(const RankCommand &command, const Endpoint &leader,
+                                const ExpertProfile &profile, std::size_t groupSize)
 {
     RankOrder order = command.order;
-    const bool underWay = std::any_of(open_.begin(), open_.end(), [&order](const RankOrder &open) {
-        return sameOrder(open, order);
-    });
+    const bool underWay =
+        std::any_of(inProgress_.begin(), inProgress_.end(),
+                    [&order](const RankOrder &other) { return sameOrder(other, order); });
     if (underWay)
         return;
     if (order.kind == RankOrderKind::Prepare) {
@@ -42,26 +42,28 @@
         }
         order.map = std::move(map.value());
     }
-    open_.push_back(order);
-    give(order, leader, 0);
+    inProgress_.push_back(order);
+    send(order, leader, 0);
 }
 
 /// Gives an order, and again while it gets no answer.
-void RankOrders::give(const RankOrder &order, const Endpoint &leader, int triesDone)
+void RankOrderExecutor::send(const RankOrder &order, const Endpoint &leader, int attemptsDone)
 {
-    engines_.order(engine_, order, [this, order, leader, triesDone](const Result<void> &result) {
+    engines_.order(engine_, order, [this, order, leader, attemptsDone](const Result<void> &result) {
         const bool unanswered = result.has_error() && result.error().kind == ErrorKind::Timeout;
-        if (unanswered && givesAgain(triesDone + 1)) {
-            give(order, leader, triesDone + 1);
+        if (unanswered && shouldResend(attemptsDone + 1)) {
+            send(order, leader, attemptsDone + 1);
             return;
         }
         end(order, leader, result);
     });
 }
 
-void RankOrders::end(const RankOrder &order, const Endpoint &leader, const Result<void> &result)
+void RankOrderExecutor::end(const RankOrder &order, const Endpoint &leader,
+                            const Result<void> &result)
 {
-    std::erase_if(open_, [&order](const RankOrder &open) { return sameOrder(open, order); });
+    std::erase_if(inProgress_,
+                  [&order](const RankOrder &other) { return sameOrder(other, order); });
     countOrder(metrics_, order.kind, result.has_error() ? "failed" : "done");
     if (result.has_error()) {
         log_.info("order.failed",
--- a/Source/Programs/Sidecar/RankOrders.h
+++ b/Source/Programs/Sidecar/RankOrderExecutor.h
@@ -6,22 +6,22 @@
 
 #include "Process/EventLog.h"
 #include "Process/Metrics.h"
-#include "Programs/Sidecar/EngineLink.h"
+#include "Programs/Sidecar/EngineClient.h"
 #include "Version/KeptMaps.h"
 
 namespace wisteria {
 
 /// Gives the orders of a group's leader to the engine beside the sidecar.
-class RankOrders
+class RankOrderExecutor
 {
 public:
     /// @param ended Called when an order is done or has failed, as the engine's state may differ.
-    RankOrders(EngineLink &engines, EventLog &log, Metrics &metrics, Endpoint engine,
-               std::function<void()> ended);
+    RankOrderExecutor(EngineClient &engines, EventLog &log, Metrics &metrics, Endpoint engine,
+                      std::function<void()> ended);
 
     /// Takes a leader's command; one that is under way already is left at that.
-    void take(const RankCommand &command, const Endpoint &leader, const ExpertProfile &profile,
-              std::size_t groupSize);
+    void execute(const RankCommand &command, const Endpoint &leader, const ExpertProfile &profile,
+                 std::size_t groupSize);
 
     /// Notes the version in force at the engine.
     void noteInForce(std::uint64_t version) { maps_.inForce = version; }
@@ -36,16 +36,16 @@
     std::uint64_t accepted() const { return accepted_; }
 
 private:
-    void give(const RankOrder &order, const Endpoint &leader, int triesDone);
+    void send(const RankOrder &order, const Endpoint &leader, int attemptsDone);
     void end(const RankOrder &order, const Endpoint &leader, const Result<void> &result);
 
-    EngineLink &engines_;
+    EngineClient &engines_;
     EventLog &log_;
     Metrics &metrics_;
     Endpoint engine_;
     std::function<void()> ended_;
     KeptMaps maps_;
-    std::vector<RankOrder> open_;
+    std::vector<RankOrder> inProgress_;
     std::uint64_t accepted_ = 0;
 };
 
--- a/Source/Programs/Sidecar/Sidecar.cpp
+++ b/Source/Programs/Sidecar/Sidecar.cpp
@@ -10,13 +10,13 @@
 #include "Connection/MetricsServer.h"
 #include "Process/EventLog.h"
 #include "Process/ShutdownSignal.h"
-#include "Programs/Sidecar/EngineLink.h"
+#include "Programs/Sidecar/EngineClient.h"
 #include "Programs/Sidecar/GroupLeader.h"
-#include "Programs/Sidecar/RankOrders.h"
+#include "Programs/Sidecar/RankOrderExecutor.h"
 #include "Programs/Sidecar/SidecarMetrics.h"
-#include "Version/CountsCollection.h"
-#include "Version/KnownEngines.h"
-#include "Version/LeaderChoice.h"
+#include "Version/CountsAggregation.h"
+#include "Version/EngineListCache.h"
+#include "Version/LeaderElection.h"
 #include "Version/RelayPlan.h"
 #include "Version/SentLoad.h"
 
@@ -66,21 +66,22 @@
         BOOST_OUTCOME_TRYV(Sidecar::check(settings_));
         engine_ = *settings_.engine;
         port_ = settings_.firstInternalPort;
-        link_ = relayLinkOf(settings_.linkMegabitsPerSecond);
+        bandwidth_ = linkBandwidthOf(settings_.linkMegabitsPerSecond);
         BOOST_OUTCOME_TRYV(socket_.open({settings_.vm.ip, port_}));
         if (settings_.metrics) {
             BOOST_OUTCOME_TRYV(scrapes_.listen(*settings_.metrics));
         }
-        choice_.since = monotonicNow();
+        election_.since = monotonicNow();
         leader_ = std::make_unique<GroupLeader>(
             engines_, log_, metrics_,
-            LeaderLinks{
+            LeaderTransport{
                 .sendAll = [this](const std::vector<Endpoint> &engines,
                                   const GroupMessage &message) { sendToAll(engines, message); },
-                .askCounts = [this](const std::vector<Endpoint> &engines) { askCounts(engines); }},
-            link_, engine_);
-        orders_ = std::make_unique<RankOrders>(engines_, log_, metrics_, engine_,
-                                               [this] { readReport(); });
+                .requestCounts =
+                    [this](const std::vector<Endpoint> &engines) { requestCounts(engines); }},
+            bandwidth_, engine_);
+        orders_ = std::make_unique<RankOrderExecutor>(engines_, log_, metrics_, engine_,
+                                                      [this] { readReport(); });
         log_.info("process.start", {{"engine", toText(engine_)}, {"port", port_}});
         readReport();
         scheduleTick();
@@ -92,7 +93,7 @@
 private:
     std::string metricsText()
     {
-        SidecarState state{.reportAge = remaining(takenAt_, monotonicNow()),
+        SidecarState state{.reportAge = remaining(appliedAt_, monotonicNow()),
                            .leading = leading_,
                            .gateways = gateways_.size(),
                            .droppedLogLines = log_.dropped()};
@@ -128,9 +129,9 @@
 
     void lead(TimePoint now)
     {
-        const auto place = std::find(members().begin(), members().end(), engine_);
-        const bool should = place != members().end()
-            && leads(choice_, static_cast<std::size_t>(place - members().begin()), now);
+        const auto position = std::find(members().begin(), members().end(), engine_);
+        const bool should = position != members().end()
+            && isLeader(election_, static_cast<std::size_t>(position - members().begin()), now);
         if (should != leading_)
             log_.info(should ? "leader.begin" : "leader.end", {{"members", members().size()}});
         if (leading_ && !should)
@@ -152,7 +153,7 @@
                 return;
             }
             noteEngine(true, "");
-            takeReport(report.value(), begunAt);
+            applyReport(report.value(), begunAt);
         });
     }
 
@@ -166,12 +167,12 @@
 
     /// @param begunAt When the reading began. Two readings may end in the other order, and the one
     /// that began first must not replace the other: it can show the rank as it was before an order.
-    void takeReport(const RankReport &report, TimePoint begunAt)
+    void applyReport(const RankReport &report, TimePoint begunAt)
     {
-        if (begunAt < takenAt_)
+        if (begunAt < appliedAt_)
             return;
-        takenAt_ = begunAt;
-        noteHold(choice_, report.heldStep.has_value(), begunAt);
+        appliedAt_ = begunAt;
+        noteHold(election_, report.heldStep.has_value(), begunAt);
         const bool changed = !status_ || !sameSwitchState(status_->report, report)
             || status_->accepted != orders_->accepted();
         const bool newMap = !status_ || status_->report.map != report.map
@@ -231,14 +232,14 @@
             return;
         sentLoad_ = {.load = load, .at = now};
         const std::string bytes = encodeMessage(load);
-        for (const auto &[gateway, heardAt] : gateways_)
+        for (const auto &[gateway, receivedAt] : gateways_)
             socket_.send(gateway, bytes);
     }
 
     void tellLeader(const RankStatus &status)
     {
         if (leading_)
-            takeAsLeader(status);
+            applyAsLeader(status);
         else if (leaderAddress_)
             tellStatus(*leaderAddress_, status);
     }
@@ -255,15 +256,15 @@
         return std::find(leaderKnows_.begin(), leaderKnows_.end(), version) != leaderKnows_.end();
     }
 
-    void takeAsLeader(const RankStatus &status)
+    void applyAsLeader(const RankStatus &status)
     {
-        leader_->takeStatus(status, monotonicNow());
+        leader_->applyStatus(status, monotonicNow());
         decideSoon();
     }
 
-    void takeAsLeader(const CountsTold &told)
+    void applyAsLeader(const CountsReply &reply)
     {
-        leader_->takeCounts(told, monotonicNow());
+        leader_->applyCounts(reply, monotonicNow());
         decideSoon();
     }
 
@@ -299,7 +300,7 @@
     /// Sends an encoded message to sidecars, through relays where it is large.
     void relay(const std::vector<Endpoint> &engines, const std::string &bytes)
     {
-        for (const RelayBranch &branch : relayPlan(engines, bytes.size(), link_)) {
+        for (const RelayBranch &branch : relayPlan(engines, bytes.size(), bandwidth_)) {
             const std::string whole =
                 branch.rest.empty() ? bytes : encodeMessage(RelayedMessage{branch.rest, bytes});
             socket_.send({branch.first.ip, port_}, whole);
@@ -307,7 +308,7 @@
     }
 
     /// Passes a message on and takes it as if it had come from its sender directly.
-    void take(const Endpoint &from, const RelayedMessage &relayed)
+    void apply(const Endpoint &from, const RelayedMessage &relayed)
     {
         const auto message = decodeMessage(relayed.message);
         if (message.has_error() || std::holds_alternative<RelayedMessage>(message.value())) {
@@ -332,10 +333,10 @@
 
     void handle(const Endpoint &from, const GroupMessage &message)
     {
-        std::visit([this, &from](const auto &fields) { take(from, fields); }, message);
+        std::visit([this, &from](const auto &fields) { apply(from, fields); }, message);
     }
 
-    void take(const Endpoint &from, const GatewayHello &hello)
+    void apply(const Endpoint &from, const GatewayHello &hello)
     {
         const bool isNew = gateways_.insert_or_assign(from, monotonicNow()).second;
         // It sends nothing here before the first report.
@@ -343,71 +344,71 @@
             socket_.send(from, encodeMessage(awayLoad()));
         else if (isNew && status_)
             socket_.send(from, encodeMessage(loadFrom(status_->report)));
-        if (!shouldAskForList(known_, hello.listDigest, monotonicNow()))
+        if (!shouldRequestList(listCache_, hello.listDigest, monotonicNow()))
             return;
-        noteListAsked(known_, monotonicNow());
-        socket_.send(from, encodeMessage(EngineListWanted{}));
+        noteListRequested(listCache_, monotonicNow());
+        socket_.send(from, encodeMessage(EngineListRequest{}));
     }
 
-    void take(const Endpoint &, const EngineListWanted &) { }
+    void apply(const Endpoint &, const EngineListRequest &) { }
 
-    void take(const Endpoint &, const EngineList &list)
+    void apply(const Endpoint &, const EngineList &list)
     {
         const bool wasMember = isMember();
-        takeList(known_, list);
+        setList(listCache_, list);
         // A new member listens for the present leader before it thinks of leading itself.
         if (!wasMember && isMember())
-            choice_.since = monotonicNow();
-        leader_->setEngines(known_.list.engines, known_.list.profile);
+            election_.since = monotonicNow();
+        leader_->setEngines(listCache_.list.engines, listCache_.list.profile);
     }
 
-    const std::vector<Endpoint> &members() const { return known_.list.engines; }
+    const std::vector<Endpoint> &members() const { return listCache_.list.engines; }
 
-    const ExpertProfile &profile() const { return known_.list.profile; }
+    const ExpertProfile &profile() const { return listCache_.list.profile; }
 
     bool isMember() const
     {
         return std::binary_search(members().begin(), members().end(), engine_);
     }
 
-    void take(const Endpoint &, const EngineLoad &) { }
+    void apply(const Endpoint &, const EngineLoad &) { }
 
-    void take(const Endpoint &, const PermitAsked &) { }
+    void apply(const Endpoint &, const PermitRequestMessage &) { }
 
-    void take(const Endpoint &, const PermitTold &) { }
+    void apply(const Endpoint &, const PermitReplyMessage &) { }
 
-    void take(const Endpoint &from, const RankPoll &poll)
+    void apply(const Endpoint &from, const RankPoll &poll)
     {
         const TimePoint now = monotonicNow();
         const bool own = from.ip == engine_.ip;
         if (!own && from.ip < engine_.ip)
-            noteSuperior(choice_, now);
+            noteHigherPriorityLeader(election_, now);
         if (!own) {
-            noteLeader(choice_, now);
+            noteLeaderPoll(election_, now);
             leaderAddress_ = from;
         }
         if (!status_)
             return;
         leaderKnows_ = poll.knownMaps;
         if (own)
-            takeAsLeader(*status_);
+            applyAsLeader(*status_);
         else
             tellStatus(from, *status_);
     }
 
     /// Asks for the counts of the engines' ranks, in as many sums as the link bears.
-    void askCounts(const std::vector<Endpoint> &engines)
+    void requestCounts(const std::vector<Endpoint> &engines)
     {
         std::vector<Endpoint> others = engines;
         std::erase(others, engine_);
         sendTo(engine_, CountsPoll{});
-        askBranches(others);
+        requestFromBranches(others);
     }
 
     /// @return Sidecars that were asked, each for one sum.
-    std::size_t askBranches(const std::vector<Endpoint> &engines)
+    std::size_t requestFromBranches(const std::vector<Endpoint> &engines)
     {
-        const auto plan = relayPlan(engines, countsBytes(), link_);
+        const auto plan = relayPlan(engines, countsBytes(), bandwidth_);
         for (const RelayBranch &branch : plan)
             sendTo(branch.first, CountsPoll{branch.rest});
         return plan.size();
@@ -427,83 +428,85 @@
             socket_.send({engine.ip, port_}, encodeMessage(message));
     }
 
-    void take(const Endpoint &from, const CountsPoll &poll)
+    void apply(const Endpoint &from, const CountsPoll &poll)
     {
         // What an earlier question still waits for goes into this sum.
-        for (CountsCollection &earlier : collections_) {
-            if (earlier.asker == from)
+        for (CountsAggregation &earlier : aggregations_) {
+            if (earlier.requester == from)
                 earlier.awaited = 0;
         }
         tellDueCounts(monotonicNow());
-        const std::size_t asked = askBranches(poll.engines);
-        collections_.push_back({.asker = from,
-                                .since = monotonicNow(),
-                                .timeout = gatherTime(poll.engines.size(), countsBytes(), link_),
-                                .awaited = asked + 1,
-                                .sum = {}});
+        const std::size_t requested = requestFromBranches(poll.engines);
+        aggregations_.push_back(
+            {.requester = from,
+             .since = monotonicNow(),
+             .timeout = gatherTime(poll.engines.size(), countsBytes(), bandwidth_),
+             .awaited = requested + 1,
+             .sum = {}});
         engines_.readCounts(engine_, [this, from](Result<ExpertCounts> counts) {
             if (counts.has_error() || !status_)
                 return;
-            CountsTold told{.group = status_->report.group,
-                            .epoch = counts.value().epoch,
-                            .ranks = 1,
-                            .passes =
-                                counts.value().step - std::min(counts.value().step, counts_.step)};
-            if (told.passes > 0)
-                told.counts = countsSince(counts_.counts, counts.value().counts);
+            CountsReply reply{.group = status_->report.group,
+                              .epoch = counts.value().epoch,
+                              .ranks = 1,
+                              .passes = counts.value().step
+                                  - std::min(counts.value().step, counts_.step)};
+            if (reply.passes > 0)
+                reply.counts = countsSince(counts_.counts, counts.value().counts);
             counts_ = std::move(counts.value());
-            addToCollection(from, told);
+            addToAggregation(from, reply);
         });
     }
 
     /// Counts for this process as the leader, or for a sum that it collects for another one.
-    void take(const Endpoint &, const CountsTold &told)
+    void apply(const Endpoint &, const CountsReply &reply)
     {
         if (leading_)
-            takeAsLeader(told);
-        else if (!collections_.empty())
-            addToCollection(collections_.front().asker, told);
+            applyAsLeader(reply);
+        else if (!aggregations_.empty())
+            addToAggregation(aggregations_.front().requester, reply);
     }
 
-    void addToCollection(const Endpoint &asker, const CountsTold &told)
+    void addToAggregation(const Endpoint &requester, const CountsReply &reply)
     {
-        const auto found = std::find_if(
-            collections_.begin(), collections_.end(),
-            [&asker](const CountsCollection &collection) { return collection.asker == asker; });
-        if (found == collections_.end())
+        const auto found = std::find_if(aggregations_.begin(), aggregations_.end(),
+                                        [&requester](const CountsAggregation &aggregation) {
+                                            return aggregation.requester == requester;
+                                        });
+        if (found == aggregations_.end())
             return;
-        addCounts(*found, told);
+        addCounts(*found, reply);
         tellDueCounts(monotonicNow());
     }
 
     void tellDueCounts(TimePoint now)
     {
-        for (const CountsCollection &collection : takeDue(collections_, now)) {
-            if (collection.sum.ranks > 0)
-                tellCounts(collection);
+        for (const CountsAggregation &aggregation : takeDue(aggregations_, now)) {
+            if (aggregation.sum.ranks > 0)
+                tellCounts(aggregation);
         }
     }
 
-    void tellCounts(const CountsCollection &collection)
+    void tellCounts(const CountsAggregation &aggregation)
     {
-        if (collection.asker.ip != engine_.ip)
-            socket_.send(collection.asker, encodeMessage(collection.sum));
+        if (aggregation.requester.ip != engine_.ip)
+            socket_.send(aggregation.requester, encodeMessage(aggregation.sum));
         else if (leading_)
-            takeAsLeader(collection.sum);
+            applyAsLeader(aggregation.sum);
     }
 
-    void take(const Endpoint &, const RankStatus &status)
+    void apply(const Endpoint &, const RankStatus &status)
     {
         if (leading_)
-            takeAsLeader(status);
+            applyAsLeader(status);
     }
 
-    void take(const Endpoint &from, const RankCommand &command)
+    void apply(const Endpoint &from, const RankCommand &command)
     {
         const TimePoint now = monotonicNow();
         attentiveUntil_ = now + orderAttention;
         const std::size_t groupSize = status_ ? status_->report.groupSize : 0;
-        orders_->take(command, from, profile(), groupSize);
+        orders_->execute(command, from, profile(), groupSize);
     }
 
     platform::ProcessSettings settings_;
@@ -513,27 +516,27 @@
     EventLog log_;
     Metrics metrics_;
     HttpClientPool pool_;
-    EngineLink engines_;
+    EngineClient engines_;
     DatagramSocket socket_;
     StatusListener scrapes_;
     std::unique_ptr<GroupLeader> leader_;
-    std::unique_ptr<RankOrders> orders_;
+    std::unique_ptr<RankOrderExecutor> orders_;
     Endpoint engine_;
     std::uint16_t port_ = 0;
-    RelayLink link_;
+    LinkBandwidth bandwidth_;
     std::optional<RankStatus> status_;
     bool engineAnswers_ = true;
     bool reading_ = false;
     bool readingExperts_ = false;
     TimePoint readAt_;
-    TimePoint takenAt_;
+    TimePoint appliedAt_;
     TimePoint attentiveUntil_;
     /// Sums of counts that are being collected for others.
-    std::vector<CountsCollection> collections_;
+    std::vector<CountsAggregation> aggregations_;
     std::map<Endpoint, TimePoint> gateways_;
     SentLoad sentLoad_;
-    KnownEngines known_;
-    LeaderChoice choice_;
+    EngineListCache listCache_;
+    LeaderElection election_;
     bool leading_ = false;
     bool decidingSoon_ = false;
     std::optional<Endpoint> leaderAddress_;
--- a/Source/Request/BackendRegistry.cpp
+++ b/Source/Request/BackendRegistry.cpp
@@ -84,7 +84,7 @@
 {
     std::erase_if(atLimit, [&](const Candidate &candidate) {
         const bool worse = instead != nullptr && !candidate.before(*instead);
-        return worse || limits.at(candidate.state->entry.id).askAgainAt > now;
+        return worse || limits.at(candidate.state->entry.id).nextRequestAt > now;
     });
     const Candidate *best = bestOf(atLimit, randomUnit);
     return best == nullptr ? std::string() : best->state->entry.id;
--- a/Source/Request/LimitKeepers.h
+++ b/Source/Request/LimitOwners.h
@@ -17,7 +17,7 @@
     /// Questions since it was last heard of, and when the first and the last of them left.
     std::uint32_t unanswered = 0;
     TimePoint firstUnansweredAt{};
-    TimePoint askedAt{};
+    TimePoint lastRequestAt{};
 };
 
 /// All gateways, by the name of their VM, this one included. A plain value.
@@ -26,19 +26,19 @@
 /// The gateway that keeps a backend server's limit. All that know the same gateways name the same
 /// one, without a message; when one joins or leaves, few limits change their keeper.
 /// @return Nothing when no gateway is known.
-std::optional<std::string> keeperOf(const PeerGateways &gateways, const std::string &server,
-                                    TimePoint now);
+std::optional<std::string> limitOwnerOf(const PeerGateways &gateways, const std::string &server,
+                                        TimePoint now);
 
 /// Notes a question to a gateway.
-void noteAsked(PeerGateway &gateway, TimePoint now);
+void noteRequestSent(PeerGateway &gateway, TimePoint now);
 /// Notes any message from a gateway.
-void noteHeard(PeerGateways &gateways, const Endpoint &from);
+void noteMessageReceived(PeerGateways &gateways, const Endpoint &from);
 
 /// Whether a gateway counts as silent. One that loses a few datagrams does not: two gateways that
 /// go by two keepers are granted a limit twice.
-bool isSilent(const PeerGateway &gateway, TimePoint now);
+bool isUnresponsive(const PeerGateway &gateway, TimePoint now);
 
 /// Whether a silent gateway is due to be asked whether it is back.
-bool shouldTryAgain(const PeerGateway &gateway, TimePoint now);
+bool shouldProbe(const PeerGateway &gateway, TimePoint now);
 
 } // namespace wisteria
--- a/Source/Request/ServerLimit.cpp
+++ b/Source/Request/ServerLimit.cpp
@@ -11,7 +11,7 @@
 /// with all that are granted later.
 constexpr milliseconds permitLifetime{500};
 /// How long a permit is asked for after a request wanted one.
-constexpr milliseconds wishLifetime{75};
+constexpr milliseconds wantedLifetime{75};
 /// Time for an answer of the keeper, after which it is asked again.
 constexpr milliseconds answerTime{100};
 /// Pauses between two questions of one gateway about one server that has no request to grant.
@@ -31,38 +31,38 @@
     return limit.permits > 0 && now < limit.permitsUntil;
 }
 
-void refill(KeptLimit &kept, double perSecond, TimePoint now)
+void refill(OwnedLimit &owned, double perSecond, TimePoint now)
 {
-    if (kept.refilledAt == TimePoint())
-        kept.refilledAt = now;
-    const double passed = std::chrono::duration<double>(now - kept.refilledAt).count();
-    kept.tokens = std::min(burst, kept.tokens + std::max(0.0, passed) * perSecond);
-    kept.refilledAt = now;
+    if (owned.refilledAt == TimePoint())
+        owned.refilledAt = now;
+    const double passed = std::chrono::duration<double>(now - owned.refilledAt).count();
+    owned.tokens = std::min(burst, owned.tokens + std::max(0.0, passed) * perSecond);
+    owned.refilledAt = now;
 }
 
-milliseconds timeToToken(const KeptLimit &kept, double perSecond)
+milliseconds timeToToken(const OwnedLimit &owned, double perSecond)
 {
     constexpr double millisecondsPerSecond = 1000;
     return milliseconds(
-        std::lround(std::max(0.0, 1 - kept.tokens) / perSecond * millisecondsPerSecond));
+        std::lround(std::max(0.0, 1 - owned.tokens) / perSecond * millisecondsPerSecond));
 }
 
 /// @param share The part of the limit that is granted here.
-PermitAnswer answerWithin(KeptLimit &kept, const PermitQuestion &question, double share,
-                          TimePoint now)
-{
-    updateLimit(kept.advertised, question.advertised);
-    PermitAnswer answer{
-        .server = question.server, .number = question.number, .advertised = kept.advertised};
-    if (!kept.advertised.perSecond)
-        return answer;
-    const double perSecond = std::max(leastPerSecond, *kept.advertised.perSecond) * share;
-    refill(kept, perSecond, now);
-    answer.granted = question.wanted && kept.tokens >= 1;
-    if (answer.granted)
-        kept.tokens -= 1;
-    answer.nextIn = timeToToken(kept, perSecond);
-    return answer;
+PermitReply answerWithin(OwnedLimit &owned, const PermitRequest &request, double share,
+                         TimePoint now)
+{
+    updateLimit(owned.advertised, request.advertised);
+    PermitReply reply{
+        .server = request.server, .number = request.number, .advertised = owned.advertised};
+    if (!owned.advertised.perSecond)
+        return reply;
+    const double perSecond = std::max(leastPerSecond, *owned.advertised.perSecond) * share;
+    refill(owned, perSecond, now);
+    reply.granted = request.wanted && owned.tokens >= 1;
+    if (reply.granted)
+        owned.tokens -= 1;
+    reply.nextIn = timeToToken(owned, perSecond);
+    return reply;
 }
 
 } // namespace
@@ -85,7 +85,7 @@
     ServerLimit &limit = limits[id];
     if (!updateLimit(limit.advertised, advertised))
         return false;
-    limit.untold = true;
+    limit.ownerNotInformed = true;
     return true;
 }
 
@@ -96,18 +96,18 @@
         || holdsPermit(found->second, now);
 }
 
-void takePermit(ServerLimits &limits, const std::string &id, TimePoint now)
+void consumePermit(ServerLimits &limits, const std::string &id, TimePoint now)
 {
     const auto found = limits.find(id);
     if (found != limits.end() && holdsPermit(found->second, now))
         --found->second.permits;
 }
 
-void wantPermit(ServerLimits &limits, const std::string &id, TimePoint now)
+void markPermitWanted(ServerLimits &limits, const std::string &id, TimePoint now)
 {
     const auto found = limits.find(id);
     if (found != limits.end())
-        found->second.wantedUntil = now + wishLifetime;
+        found->second.wantedUntil = now + wantedLifetime;
 }
 
 std::size_t limitsInForce(const ServerLimits &limits)
@@ -118,41 +118,43 @@
         }));
 }
 
-std::optional<PermitQuestion> questionDue(ServerLimits &limits, const std::string &id,
-                                          TimePoint now)
+std::optional<PermitRequest> nextPermitRequest(ServerLimits &limits, const std::string &id,
+                                               TimePoint now)
 {
     ServerLimit &limit = limits[id];
     const bool wanted =
         now < limit.wantedUntil && limit.advertised.perSecond && !holdsPermit(limit, now);
-    if ((!wanted || now < limit.askAgainAt) && !limit.untold)
+    if ((!wanted || now < limit.nextRequestAt) && !limit.ownerNotInformed)
         return std::nullopt;
-    limit.untold = false;
-    limit.askedAt = now;
-    limit.open = true;
-    limit.askAgainAt = now + answerTime;
-    return PermitQuestion{
-        .server = id, .wanted = wanted, .number = ++limit.asked, .advertised = limit.advertised};
+    limit.ownerNotInformed = false;
+    limit.requestedAt = now;
+    limit.awaitingReply = true;
+    limit.nextRequestAt = now + answerTime;
+    return PermitRequest{.server = id,
+                         .wanted = wanted,
+                         .number = ++limit.requestNumber,
+                         .advertised = limit.advertised};
 }
 
-bool takeAnswer(ServerLimits &limits, const PermitAnswer &answer, TimePoint now)
+bool applyPermitReply(ServerLimits &limits, const PermitReply &reply, TimePoint now)
 {
-    const auto found = limits.find(answer.server);
+    const auto found = limits.find(reply.server);
     if (found == limits.end())
         return false;
     ServerLimit &limit = found->second;
     const bool ended =
-        updateLimit(limit.advertised, answer.advertised) && !limit.advertised.perSecond;
-    if (!limit.open || answer.number != limit.asked)
+        updateLimit(limit.advertised, reply.advertised) && !limit.advertised.perSecond;
+    if (!limit.awaitingReply || reply.number != limit.requestNumber)
         return ended;
-    limit.open = false;
-    limit.nextPermitAt = now + answer.nextIn;
-    limit.askAgainAt = now + std::clamp(answer.nextIn, leastPause, longestPause);
-    if (answer.granted) {
+    limit.awaitingReply = false;
+    limit.nextPermitAt = now + reply.nextIn;
+    limit.nextRequestAt = now + std::clamp(reply.nextIn, leastPause, longestPause);
+    if (reply.granted) {
         limit.permits = 1;
         limit.wantedUntil = TimePoint();
-        limit.permitsUntil = limit.askedAt + permitLifetime;
+        limit.permitsUntil = limit.requestedAt + permitLifetime;
     }
-    return ended || answer.granted;
+    return ended || reply.granted;
 }
 
 bool isExpired(const AdvertisedLimit &advertised, TimePoint now)
@@ -160,26 +162,26 @@
     return now - advertised.receivedAt > advertisedLimitLifetime;
 }
 
-PermitAnswer answerQuestion(KeptLimit &kept, const PermitQuestion &question, TimePoint now)
+PermitReply answerPermitRequest(OwnedLimit &owned, const PermitRequest &request, TimePoint now)
 {
-    return answerWithin(kept, question, 1, now);
+    return answerWithin(owned, request, 1, now);
 }
 
-PermitAnswer answerAlone(KeptLimit &kept, const PermitQuestion &question, double share,
-                         double randomUnit, TimePoint now)
+PermitReply answerWithoutPeers(OwnedLimit &owned, const PermitRequest &request, double share,
+                               double randomUnit, TimePoint now)
 {
     // Of what many gateways saved up in a quiet time, each a request, a small limit is exceeded at
     // once. So nothing is saved, and each begins its turn at a moment of its own.
-    if (now - kept.refilledAt > quietAfter) {
-        kept.tokens = randomUnit;
-        kept.refilledAt = now;
+    if (now - owned.refilledAt > quietAfter) {
+        owned.tokens = randomUnit;
+        owned.refilledAt = now;
     }
-    return answerWithin(kept, question, share, now);
+    return answerWithin(owned, request, share, now);
 }
 
-void forgetOldLimits(KeptLimits &kept, TimePoint now)
+void forgetOldLimits(OwnedLimits &owned, TimePoint now)
 {
-    std::erase_if(kept,
+    std::erase_if(owned,
                   [now](const auto &entry) { return isExpired(entry.second.advertised, now); });
 }
 
--- a/Source/Request/ServerLimit.h
+++ b/Source/Request/ServerLimit.h
@@ -36,16 +36,16 @@
     /// Until when a permit is asked for.
     TimePoint wantedUntil;
     /// The keeper has not been told the word yet that changed the limit.
-    bool untold = false;
+    bool ownerNotInformed = false;
     /// No further question before this moment.
-    TimePoint askAgainAt;
+    TimePoint nextRequestAt;
     /// When the keeper expects to have a request to grant, for whoever asks first.
     TimePoint nextPermitAt;
     /// Questions so far, and whether the last one is unanswered. An answer to an earlier one, or
     /// one that comes twice, permits nothing.
-    std::uint32_t asked = 0;
-    bool open = false;
-    TimePoint askedAt;
+    std::uint32_t requestNumber = 0;
+    bool awaitingReply = false;
+    TimePoint requestedAt;
 };
 
 /// Of all backend servers that ever named a limit, by id.
@@ -60,17 +60,17 @@
 bool isPermitted(const ServerLimits &limits, const std::string &id, TimePoint now);
 
 /// Uses up a permit for a request that is sent.
-void takePermit(ServerLimits &limits, const std::string &id, TimePoint now);
+void consumePermit(ServerLimits &limits, const std::string &id, TimePoint now);
 
 /// Has a permit asked for: a request would have gone there with one, and waits, or others are
 /// likely to follow it. Not for one that is refused; its permit would be lost to all.
-void wantPermit(ServerLimits &limits, const std::string &id, TimePoint now);
+void markPermitWanted(ServerLimits &limits, const std::string &id, TimePoint now);
 
 /// Backend servers that name a limit now.
 std::size_t limitsInForce(const ServerLimits &limits);
 
 /// What a gateway asks the keeper of a limit.
-struct PermitQuestion
+struct PermitRequest
 {
     std::string server;
     /// One request is to be sent; else only the word is told.
@@ -80,7 +80,7 @@
 };
 
 /// What the keeper answers.
-struct PermitAnswer
+struct PermitReply
 {
     std::string server;
     std::uint32_t number = 0;
@@ -92,19 +92,19 @@
 };
 
 /// A question about a backend server, where one is due.
-std::optional<PermitQuestion> questionDue(ServerLimits &limits, const std::string &id,
-                                          TimePoint now);
+std::optional<PermitRequest> nextPermitRequest(ServerLimits &limits, const std::string &id,
+                                               TimePoint now);
 
 /// Takes in what the keeper answered.
 /// @return Whether a request may now be sent that could not be before.
-bool takeAnswer(ServerLimits &limits, const PermitAnswer &answer, TimePoint now);
+bool applyPermitReply(ServerLimits &limits, const PermitReply &reply, TimePoint now);
 
 /// Whether a word was heard so long ago that its server is gone, unless something else tells that
 /// it is there.
 bool isExpired(const AdvertisedLimit &advertised, TimePoint now);
 
 /// A limit as its keeper has it. A plain value.
-struct KeptLimit
+struct OwnedLimit
 {
     AdvertisedLimit advertised;
     double tokens = 0;
@@ -112,21 +112,21 @@
 };
 
 /// The limits that one gateway keeps, by the id of their backend server.
-using KeptLimits = std::map<std::string, KeptLimit>;
+using OwnedLimits = std::map<std::string, OwnedLimit>;
 
 /// Grants requests of all gateways within a limit.
 ///
 /// It begins with nothing to grant: the gateways may have gone by another keeper until now, and
 /// both together must not grant more than the limit.
-PermitAnswer answerQuestion(KeptLimit &kept, const PermitQuestion &question, TimePoint now);
+PermitReply answerPermitRequest(OwnedLimit &owned, const PermitRequest &request, TimePoint now);
 
 /// The same for a gateway that knows no other and grants itself its part of the limit.
 /// @param share Its part.
 /// @param randomUnit A number from 0 to below 1.
-PermitAnswer answerAlone(KeptLimit &kept, const PermitQuestion &question, double share,
-                         double randomUnit, TimePoint now);
+PermitReply answerWithoutPeers(OwnedLimit &owned, const PermitRequest &request, double share,
+                               double randomUnit, TimePoint now);
 
 /// Forgets limits that nobody asked for in long.
-void forgetOldLimits(KeptLimits &kept, TimePoint now);
+void forgetOldLimits(OwnedLimits &owned, TimePoint now);
 
 } // namespace wisteria
--- a/Source/Version/CountsCollection.h
+++ b/Source/Version/CountsAggregation.h
@@ -14,28 +14,28 @@
 /// The demand for experts is known well only from all ranks: a rank reads some four prompts a
 /// second, and each prompt has favourites of its own. The counts of all would fill the link of the
 /// leader's VM, so sidecars add them up on the way.
-struct CountsCollection
+struct CountsAggregation
 {
-    Endpoint asker;
+    Endpoint requester;
     TimePoint since;
     /// How long the others are waited for. What comes later goes into the next sum.
     milliseconds timeout{0};
     /// Sidecars that have not answered yet.
     std::size_t awaited = 0;
-    CountsTold sum;
+    CountsReply sum;
 };
 
 /// Adds a rank's counts, or a sum of several. Those of a group that has formed anew replace the
 /// older ones.
-void addCounts(CountsCollection &collection, const CountsTold &told);
+void addCounts(CountsAggregation &aggregation, const CountsReply &reply);
 
 /// Whether the sum is to be told now.
-bool isDue(const CountsCollection &collection, TimePoint now);
+bool isDue(const CountsAggregation &aggregation, TimePoint now);
 
 /// Takes those out of the list that are due. They are out of it before anybody is told: a sum for
 /// this process itself, asked for while it led and due when it no longer did, was added to the list
 /// that was being gone through. The process crashed, at times after it had told another's sum so
 /// often that its link was full for minutes.
-std::vector<CountsCollection> takeDue(std::vector<CountsCollection> &collections, TimePoint now);
+std::vector<CountsAggregation> takeDue(std::vector<CountsAggregation> &aggregations, TimePoint now);
 
 } // namespace wisteria
--- a/Source/Version/KnownEngines.h
+++ b/Source/Version/EngineListCache.h
@@ -8,33 +8,33 @@
 namespace wisteria {
 
 /// The list of engines that a sidecar goes by. A plain value.
-struct KnownEngines
+struct EngineListCache
 {
     EngineList list;
     /// Of the list; 0 before the first one.
     std::uint64_t digest = 0;
-    TimePoint askedAt;
+    TimePoint requestedAt;
 };
 
 /// Pause between two questions for a list. Gateways learn of a change up to a read of the store
 /// apart, so for a while their hellos name two lists in turn, and each would be asked for.
-constexpr milliseconds listAskPause{300};
+constexpr milliseconds listRequestInterval{300};
 
 /// Whether the gateway whose hello names this list is to be asked for it.
-inline bool shouldAskForList(const KnownEngines &known, std::uint64_t named, TimePoint now)
+inline bool shouldRequestList(const EngineListCache &cache, std::uint64_t named, TimePoint now)
 {
-    return named != known.digest && now - known.askedAt >= listAskPause;
+    return named != cache.digest && now - cache.requestedAt >= listRequestInterval;
 }
 
-inline void noteListAsked(KnownEngines &known, TimePoint now)
+inline void noteListRequested(EngineListCache &cache, TimePoint now)
 {
-    known.askedAt = now;
+    cache.requestedAt = now;
 }
 
-inline void takeList(KnownEngines &known, const EngineList &list)
+inline void setList(EngineListCache &cache, const EngineList &list)
 {
-    known.list = list;
-    known.digest = digestOf(list);
+    cache.list = list;
+    cache.digest = digestOf(list);
 }
 
 } // namespace wisteria
--- a/Source/Version/GroupDemand.cpp
+++ b/Source/Version/GroupDemand.cpp
@@ -40,16 +40,16 @@
 }
 
 void takeDemand(GroupSwitch &group, const ExpertProfile &profile, const SwitchTiming &timing,
-                const CountsTold &told, TimePoint now)
+                const CountsReply &reply, TimePoint now)
 {
-    if (told.epoch != group.epoch)
+    if (reply.epoch != group.epoch)
         return;
     closeOverdueWindow(group, profile, timing, now);
     if (group.windowRanks == 0)
         group.windowSince = now;
-    addCounts(group.window, profile, told.counts);
-    group.windowRanks += told.ranks;
-    group.windowPasses = std::max(group.windowPasses, told.passes);
+    addCounts(group.window, profile, reply.counts);
+    group.windowRanks += reply.ranks;
+    group.windowPasses = std::max(group.windowPasses, reply.passes);
     if (group.windowRanks >= group.ranks.size())
         closeWindow(group, profile, now);
 }
--- a/Source/Version/GroupDemand.h
+++ b/Source/Version/GroupDemand.h
@@ -11,7 +11,7 @@
 /// of before and after: a map made for the mixture fits neither, and another switch would have to
 /// follow.
 void takeDemand(GroupSwitch &group, const ExpertProfile &profile, const SwitchTiming &timing,
-                const CountsTold &told, TimePoint now);
+                const CountsReply &reply, TimePoint now);
 
 /// Ends a window whose counts should all have arrived: a rank may be gone, or an answer lost.
 void closeOverdueWindow(GroupSwitch &group, const ExpertProfile &profile,
--- a/Source/Version/GroupMessages.cpp
+++ b/Source/Version/GroupMessages.cpp
@@ -21,11 +21,11 @@
     Command = 5,
     Relayed = 6,
     CountsPoll = 7,
-    CountsTold = 8,
+    CountsReply = 8,
     Hello = 9,
-    ListWanted = 10,
-    PermitAsked = 11,
-    PermitTold = 12
+    ListRequest = 10,
+    PermitRequest = 11,
+    PermitReply = 12
 };
 
 Json encode(const Endpoint &endpoint)
@@ -59,9 +59,9 @@
     return {MessageKind::Hello, hello.listDigest};
 }
 
-Json encode(const EngineListWanted &)
+Json encode(const EngineListRequest &)
 {
-    return Json::array({MessageKind::ListWanted});
+    return Json::array({MessageKind::ListRequest});
 }
 
 Json encode(const EngineList &list)
@@ -274,7 +274,7 @@
             .message = std::string(bytes.begin(), bytes.end())};
 }
 
-CountsTold decodeCountsTold(const Json &json)
+CountsReply decodeCountsReply(const Json &json)
 {
     return {.group = json.at(1).get<std::string>(),
             .epoch = json.at(2).get<std::uint64_t>(),
@@ -298,13 +298,13 @@
     return perSecond;
 }
 
-Json encode(const PermitAsked &asked)
+Json encode(const PermitRequestMessage &message)
 {
-    return {MessageKind::PermitAsked, asked.server,         asked.wanted, asked.number,
-            encode(asked.perSecond),  asked.ageMilliseconds};
+    return {MessageKind::PermitRequest, message.server,         message.wanted, message.number,
+            encode(message.perSecond),  message.ageMilliseconds};
 }
 
-PermitAsked decodePermitAsked(const Json &json)
+PermitRequestMessage decodePermitRequest(const Json &json)
 {
     return {.server = json.at(1).get<std::string>(),
             .wanted = json.at(2).get<bool>(),
@@ -313,18 +313,18 @@
             .ageMilliseconds = json.at(5).get<std::uint32_t>()};
 }
 
-Json encode(const PermitTold &told)
+Json encode(const PermitReplyMessage &message)
 {
-    return {MessageKind::PermitTold,
-            told.server,
-            told.number,
-            told.granted,
-            told.nextInMilliseconds,
-            encode(told.perSecond),
-            told.ageMilliseconds};
+    return {MessageKind::PermitReply,
+            message.server,
+            message.number,
+            message.granted,
+            message.nextInMilliseconds,
+            encode(message.perSecond),
+            message.ageMilliseconds};
 }
 
-PermitTold decodePermitTold(const Json &json)
+PermitReplyMessage decodePermitReply(const Json &json)
 {
     return {.server = json.at(1).get<std::string>(),
             .number = json.at(2).get<std::uint32_t>(),
@@ -339,8 +339,8 @@
     switch (static_cast<MessageKind>(json.at(0).get<int>())) {
     case MessageKind::Hello:
         return GatewayHello{.listDigest = json.at(1).get<std::uint64_t>()};
-    case MessageKind::ListWanted:
-        return EngineListWanted{};
+    case MessageKind::ListRequest:
+        return EngineListRequest{};
     case MessageKind::List:
         return decodeList(json);
     case MessageKind::Load:
@@ -355,12 +355,12 @@
         return decodeRelayed(json);
     case MessageKind::CountsPoll:
         return CountsPoll{.engines = decodeEndpoints(json.at(1))};
-    case MessageKind::CountsTold:
-        return decodeCountsTold(json);
-    case MessageKind::PermitAsked:
-        return decodePermitAsked(json);
-    case MessageKind::PermitTold:
-        return decodePermitTold(json);
+    case MessageKind::CountsReply:
+        return decodeCountsReply(json);
+    case MessageKind::PermitRequest:
+        return decodePermitRequest(json);
+    case MessageKind::PermitReply:
+        return decodePermitReply(json);
     }
     throw std::out_of_range("unknown message");
 }
@@ -375,10 +375,10 @@
     return Json::array({MessageKind::CountsPoll, encode(poll.engines)});
 }
 
-Json encode(const CountsTold &told)
+Json encode(const CountsReply &reply)
 {
-    return {MessageKind::CountsTold,  told.group, told.epoch, told.ranks, told.passes,
-            encodeCounts(told.counts)};
+    return {MessageKind::CountsReply,  reply.group, reply.epoch, reply.ranks, reply.passes,
+            encodeCounts(reply.counts)};
 }
 
 } // namespace
--- a/Source/Version/GroupMessages.h
+++ b/Source/Version/GroupMessages.h
@@ -48,7 +48,7 @@
 };
 
 /// A sidecar asks a gateway for the list that its hello named; answered by an EngineList.
-struct EngineListWanted
+struct EngineListRequest
 { };
 
 /// A sidecar tells a gateway the load of its engine.
@@ -84,7 +84,7 @@
 };
 
 /// Answers a CountsPoll.
-struct CountsTold
+struct CountsReply
 {
     std::string group{};
     std::uint64_t epoch = 0;
@@ -147,7 +147,7 @@
 };
 
 /// A gateway asks the one that keeps a backend server's limit, or tells it what the server said.
-struct PermitAsked
+struct PermitRequestMessage
 {
     std::string server;
     /// One request is to be sent.
@@ -158,8 +158,8 @@
     std::uint32_t ageMilliseconds = 0;
 };
 
-/// Answers a PermitAsked of the same number.
-struct PermitTold
+/// Answers a PermitRequestMessage of the same number.
+struct PermitReplyMessage
 {
     std::string server;
     std::uint32_t number = 0;
@@ -181,9 +181,9 @@
 /// @return BadInput when they name a set or rank that the map lacks.
 Result<RankMap> applyChanges(RankMap map, const std::vector<RankMapChange> &changes);
 
-using GroupMessage =
-    std::variant<GatewayHello, EngineListWanted, EngineList, EngineLoad, RankPoll, RankStatus,
-                 RankCommand, RelayedMessage, CountsPoll, CountsTold, PermitAsked, PermitTold>;
+using GroupMessage = std::variant<GatewayHello, EngineListRequest, EngineList, EngineLoad, RankPoll,
+                                  RankStatus, RankCommand, RelayedMessage, CountsPoll, CountsReply,
+                                  PermitRequestMessage, PermitReplyMessage>;
 
 /// A message as MessagePack bytes.
 std::string encodeMessage(const GroupMessage &message);
--- a/Source/Version/OrderRetry.h
+++ b/Source/Version/OrderRetry.h
@@ -13,12 +13,12 @@
 constexpr milliseconds orderTimeout{40};
 /// Tries while there is no answer; then the leader asks again. The more ranks there are, the more
 /// tries the unluckiest of them needs.
-constexpr int triesOfOrder = 16;
+constexpr int maxOrderAttempts = 16;
 
 /// Whether an order that got no answer is given once more.
-constexpr bool givesAgain(int triesDone)
+constexpr bool shouldResend(int attemptsDone)
 {
-    return triesDone < triesOfOrder;
+    return attemptsDone < maxOrderAttempts;
 }
 
 } // namespace wisteria
--- a/Source/Version/RelayPlan.h
+++ b/Source/Version/RelayPlan.h
@@ -11,12 +11,12 @@
 namespace wisteria {
 
 /// The link of a VM, as far as messages to and from many sidecars are concerned.
-struct RelayLink
+struct LinkBandwidth
 {
     double bytesPerMillisecond = 1000;
 };
 
-inline RelayLink relayLinkOf(double megabitsPerSecond)
+inline LinkBandwidth linkBandwidthOf(double megabitsPerSecond)
 {
     constexpr double bytesPerMegabit = 125'000;
     constexpr double millisecondsPerSecond = 1000;
@@ -41,9 +41,10 @@
 
 /// Branches for a message to so many receivers; as many as receivers when it goes to each directly.
 inline std::size_t branchCount(std::size_t receivers, std::size_t messageBytes,
-                               const RelayLink &link)
+                               const LinkBandwidth &bandwidth)
 {
-    const double inTime = link.bytesPerMillisecond * static_cast<double>(linkTimePerStage.count());
+    const double inTime =
+        bandwidth.bytesPerMillisecond * static_cast<double>(linkTimePerStage.count());
     const double bytes = static_cast<double>(std::max<std::size_t>(messageBytes, 1));
     const auto fitting = static_cast<std::size_t>(inTime / bytes);
     const std::size_t branches = std::max(leastBranches, fitting);
@@ -60,13 +61,13 @@
 /// the relay chooses the next ones. Neighbouring addresses, which are mostly in one failure domain,
 /// share a branch.
 inline std::vector<RelayBranch> relayPlan(const std::vector<Endpoint> &engines,
-                                          std::size_t messageBytes, const RelayLink &link)
+                                          std::size_t messageBytes, const LinkBandwidth &bandwidth)
 {
     std::vector<std::size_t> byAddress(engines.size());
     std::iota(byAddress.begin(), byAddress.end(), 0);
     std::sort(byAddress.begin(), byAddress.end(),
               [&engines](std::size_t a, std::size_t b) { return engines[a] < engines[b]; });
-    const std::size_t count = branchCount(engines.size(), messageBytes, link);
+    const std::size_t count = branchCount(engines.size(), messageBytes, bandwidth);
     std::vector<RelayBranch> branches;
     for (std::size_t branch = 0; branch < count; ++branch) {
         const auto at = [&](std::size_t index) {
@@ -87,13 +88,14 @@
 
 /// Time within which the answers of so many sidecars are there, each summed up on the way: the
 /// stages wait for each other, and the answers to each of them share its link.
-inline milliseconds gatherTime(std::size_t sidecars, std::size_t answerBytes, const RelayLink &link)
+inline milliseconds gatherTime(std::size_t sidecars, std::size_t answerBytes,
+                               const LinkBandwidth &bandwidth)
 {
     milliseconds time = ownAnswerTime;
     while (sidecars > 0) {
-        const std::size_t branches = branchCount(sidecars, answerBytes, link);
+        const std::size_t branches = branchCount(sidecars, answerBytes, bandwidth);
         const double bytes = static_cast<double>(branches * answerBytes);
-        time += milliseconds(static_cast<int>(bytes / link.bytesPerMillisecond));
+        time += milliseconds(static_cast<int>(bytes / bandwidth.bytesPerMillisecond));
         sidecars = (sidecars + branches - 1) / branches - 1;
         if (sidecars > 0)
             time += ownAnswerTime;
--- a/Tests/Gateway/CodecTest.cpp
+++ b/Tests/Gateway/CodecTest.cpp
@@ -216,12 +216,12 @@
     const auto pollBack = decodeMessage(encodeMessage(poll)).value();
     REQUIRE(std::get<CountsPoll>(pollBack).engines == poll.engines);
 
-    const CountsTold told{.group = "g", .epoch = 2, .ranks = 8, .counts = {0, 1, 31 * 31}};
-    const auto toldBack = decodeMessage(encodeMessage(told)).value();
-    REQUIRE(std::get<CountsTold>(toldBack).group == "g");
-    REQUIRE(std::get<CountsTold>(toldBack).epoch == 2);
-    REQUIRE(std::get<CountsTold>(toldBack).ranks == 8);
-    REQUIRE(std::get<CountsTold>(toldBack).counts == told.counts);
+    const CountsReply reply{.group = "g", .epoch = 2, .ranks = 8, .counts = {0, 1, 31 * 31}};
+    const auto replyBack = decodeMessage(encodeMessage(reply)).value();
+    REQUIRE(std::get<CountsReply>(replyBack).group == "g");
+    REQUIRE(std::get<CountsReply>(replyBack).epoch == 2);
+    REQUIRE(std::get<CountsReply>(replyBack).ranks == 8);
+    REQUIRE(std::get<CountsReply>(replyBack).counts == reply.counts);
 
     REQUIRE(decodeMessage("").has_error());
     REQUIRE(decodeMessage("\x93\x63\x01\x02").has_error());
--- a/Tests/Gateway/GroupHelloTest.cpp
+++ b/Tests/Gateway/GroupHelloTest.cpp
@@ -55,13 +55,13 @@
         hellos = sidecar.receiveWithin<GatewayHello>(milliseconds(100));
         return !hellos.empty();
     }));
-    sidecar.send(EngineListWanted{});
+    sidecar.send(EngineListRequest{});
     const auto lists = sidecar.receiveWithin<EngineList>(milliseconds(200));
     REQUIRE(lists.size() == 1);
     REQUIRE(lists.front().engines == std::vector<Endpoint>{engine.endpoint()});
     REQUIRE(lists.front().profile.expertsPerSet == 4);
     REQUIRE(digestOf(lists.front()) == hellos.front().listDigest);
     // No engine runs on that VM.
-    stranger.send(EngineListWanted{});
+    stranger.send(EngineListRequest{});
     REQUIRE(stranger.countWithin<EngineList>(milliseconds(100)) == 0);
 }
--- a/Tests/Gateway/LimitPermitsTest.cpp
+++ b/Tests/Gateway/LimitPermitsTest.cpp
@@ -6,7 +6,7 @@
 #include <catch2/catch.hpp>
 
 #include "Gateway/RegistryEntries.h"
-#include "Request/LimitKeepers.h"
+#include "Request/LimitOwners.h"
 #include "Version/GroupMessages.h"
 
 using namespace wisteria;
@@ -61,9 +61,10 @@
     /// From now on the server names no limit.
     void endLimit() { perSecond_.reset(); }
     void stand(std::size_t gateway, bool stands) { gateways_[gateway].stands = stands; }
-    std::size_t keeper() const
+    std::size_t owner() const
     {
-        return std::stoul(keeperOf(known_, server, start)->substr(std::string("front-").size()));
+        return std::stoul(
+            limitOwnerOf(known_, server, start)->substr(std::string("front-").size()));
     }
 
     std::size_t sent() const { return sentAt_.size(); }
@@ -82,15 +83,15 @@
     {
         ServerLimits limits;
         PeerGateways known;
-        KeptLimit kept;
+        OwnedLimit owned;
         bool stands = false;
     };
     struct Datagram
     {
         std::size_t from = 0;
         std::size_t to = 0;
-        std::optional<PermitQuestion> question{};
-        PermitAnswer answer{};
+        std::optional<PermitRequest> request{};
+        PermitReply reply{};
     };
 
     static Endpoint addressOf(std::size_t gateway)
@@ -114,14 +115,14 @@
             Peer &peer = gateways_[datagram.to];
             if (peer.stands)
                 continue;
-            if (datagram.question) {
+            if (datagram.request) {
                 post({.from = datagram.to,
                       .to = datagram.from,
-                      .answer = answerQuestion(peer.kept, *datagram.question, now_)});
+                      .reply = answerPermitRequest(peer.owned, *datagram.request, now_)});
                 continue;
             }
-            noteHeard(peer.known, addressOf(datagram.from));
-            takeAnswer(peer.limits, datagram.answer, now_);
+            noteMessageReceived(peer.known, addressOf(datagram.from));
+            applyPermitReply(peer.limits, datagram.reply, now_);
         }
     }
 
@@ -132,41 +133,41 @@
             return;
         if (randomUnit() < asked * secondsOf(tick))
             arrive(peer);
-        const auto question = questionDue(peer.limits, server, now_);
-        if (!question)
+        const auto request = nextPermitRequest(peer.limits, server, now_);
+        if (!request)
             return;
-        ask(index, *question);
+        requestPermit(index, *request);
         for (auto &[name, gateway] : peer.known) {
-            if (shouldTryAgain(gateway, now_))
-                askPeer(index, name, {.server = server, .advertised = question->advertised});
+            if (shouldProbe(gateway, now_))
+                sendRequest(index, name, {.server = server, .advertised = request->advertised});
         }
     }
 
-    void ask(std::size_t index, const PermitQuestion &question)
+    void requestPermit(std::size_t index, const PermitRequest &request)
     {
         Peer &peer = gateways_[index];
-        const std::string name = *keeperOf(peer.known, server, now_);
+        const std::string name = *limitOwnerOf(peer.known, server, now_);
         if (peer.known[name].address == addressOf(index))
-            takeAnswer(peer.limits, answerQuestion(peer.kept, question, now_), now_);
+            applyPermitReply(peer.limits, answerPermitRequest(peer.owned, request, now_), now_);
         else
-            askPeer(index, name, question);
+            sendRequest(index, name, request);
     }
 
-    void askPeer(std::size_t index, const std::string &name, const PermitQuestion &question)
+    void sendRequest(std::size_t index, const std::string &name, const PermitRequest &request)
     {
         PeerGateway &to = gateways_[index].known[name];
-        noteAsked(to, now_);
-        post({.from = index, .to = to.address.ip - 1, .question = question});
+        noteRequestSent(to, now_);
+        post({.from = index, .to = to.address.ip - 1, .request = request});
     }
 
     /// A request that would go to the server, and has nowhere else to wait.
     void arrive(Peer &peer)
     {
         if (!isPermitted(peer.limits, server, now_)) {
-            wantPermit(peer.limits, server, now_);
+            markPermitWanted(peer.limits, server, now_);
             return;
         }
-        takePermit(peer.limits, server, now_);
+        consumePermit(peer.limits, server, now_);
         sentAt_.push_back(now_);
         noteAdvertisedLimit(peer.limits, server, {.perSecond = perSecond_, .receivedAt = now_});
     }
@@ -219,10 +220,10 @@
     PermitWorld world(13, perSecond, 0.02);
     world.run(seconds(10), 100);
     const std::size_t before = world.sent();
-    world.stand(world.keeper(), true);
+    world.stand(world.owner(), true);
     world.run(seconds(10), 100);
     REQUIRE(world.sent() - before >= static_cast<std::size_t>(6 * perSecond));
-    world.stand(world.keeper(), false);
+    world.stand(world.owner(), false);
     world.run(seconds(10), 100);
     REQUIRE(world.mostWithinSpan() <= allowedWithinSpan(perSecond));
 }
@@ -270,15 +271,15 @@
     const BackendChoice none = chooseBackend(registry, criteria, start, 0);
     REQUIRE(none.backend == nullptr);
     REQUIRE(none.reason == NoBackendReason::AtLimit);
-    wantPermit(registry.limits, none.preferredAtLimit, start);
-    const auto question = questionDue(registry.limits, server, start);
-    REQUIRE(question->wanted);
-    REQUIRE(takeAnswer(registry.limits,
-                       {.server = server,
-                        .number = question->number,
-                        .granted = true,
-                        .advertised = question->advertised},
-                       start));
+    markPermitWanted(registry.limits, none.preferredAtLimit, start);
+    const auto request = nextPermitRequest(registry.limits, server, start);
+    REQUIRE(request->wanted);
+    REQUIRE(applyPermitReply(registry.limits,
+                             {.server = server,
+                              .number = request->number,
+                              .granted = true,
+                              .advertised = request->advertised},
+                             start));
     REQUIRE(chooseBackend(registry, criteria, start, 0).backend->entry.id == server);
 }
 
@@ -287,43 +288,44 @@
 {
     ServerLimits limits;
     noteAdvertisedLimit(limits, server, {.perSecond = 1, .receivedAt = start});
-    wantPermit(limits, server, start);
-    const auto question = questionDue(limits, server, start);
-    const PermitAnswer answer{.server = server,
-                              .number = question->number,
-                              .granted = true,
-                              .advertised = question->advertised};
-    takeAnswer(limits, answer, start);
-    takePermit(limits, server, start);
-    takeAnswer(limits, answer, start);
+    markPermitWanted(limits, server, start);
+    const auto request = nextPermitRequest(limits, server, start);
+    const PermitReply reply{.server = server,
+                            .number = request->number,
+                            .granted = true,
+                            .advertised = request->advertised};
+    applyPermitReply(limits, reply, start);
+    consumePermit(limits, server, start);
+    applyPermitReply(limits, reply, start);
     REQUIRE_FALSE(isPermitted(limits, server, start));
 
-    wantPermit(limits, server, start + seconds(1));
-    const auto second = questionDue(limits, server, start + seconds(1));
-    takeAnswer(limits,
-               {.server = server,
-                .number = second->number,
-                .granted = true,
-                .advertised = second->advertised},
-               start + seconds(2));
+    markPermitWanted(limits, server, start + seconds(1));
+    const auto second = nextPermitRequest(limits, server, start + seconds(1));
+    applyPermitReply(limits,
+                     {.server = server,
+                      .number = second->number,
+                      .granted = true,
+                      .advertised = second->advertised},
+                     start + seconds(2));
     REQUIRE_FALSE(isPermitted(limits, server, start + seconds(2)));
 }
 
 TEST_CASE("Questions and answers about limits survive the way")
 {
-    const PermitAsked asked{
+    const PermitRequestMessage request{
         .server = server, .wanted = true, .number = 3, .perSecond = 1.5, .ageMilliseconds = 20};
-    const auto askedBack = decodeMessage(encodeMessage(asked)).value();
-    REQUIRE(std::get<PermitAsked>(askedBack).server == server);
-    REQUIRE(std::get<PermitAsked>(askedBack).wanted);
-    REQUIRE(std::get<PermitAsked>(askedBack).perSecond == 1.5);
-    const PermitTold told{.server = server, .number = 3, .granted = true, .nextInMilliseconds = 7};
-    const auto toldBack = decodeMessage(encodeMessage(told)).value();
-    REQUIRE(std::get<PermitTold>(toldBack).granted);
-    REQUIRE(std::get<PermitTold>(toldBack).nextInMilliseconds == 7);
-    REQUIRE_FALSE(std::get<PermitTold>(toldBack).perSecond);
-    REQUIRE(
-        decodeMessage(encodeMessage(PermitAsked{.server = server, .perSecond = -1})).has_error());
+    const auto requestBack = decodeMessage(encodeMessage(request)).value();
+    REQUIRE(std::get<PermitRequestMessage>(requestBack).server == server);
+    REQUIRE(std::get<PermitRequestMessage>(requestBack).wanted);
+    REQUIRE(std::get<PermitRequestMessage>(requestBack).perSecond == 1.5);
+    const PermitReplyMessage reply{
+        .server = server, .number = 3, .granted = true, .nextInMilliseconds = 7};
+    const auto replyBack = decodeMessage(encodeMessage(reply)).value();
+    REQUIRE(std::get<PermitReplyMessage>(replyBack).granted);
+    REQUIRE(std::get<PermitReplyMessage>(replyBack).nextInMilliseconds == 7);
+    REQUIRE_FALSE(std::get<PermitReplyMessage>(replyBack).perSecond);
+    REQUIRE(decodeMessage(encodeMessage(PermitRequestMessage{.server = server, .perSecond = -1}))
+                .has_error());
 }
 
 // Guards against gateways that don't know each other each saving up a request of a small limit, and
@@ -336,17 +338,17 @@
     const unsigned seed = GENERATE(range(1U, 40U));
     std::mt19937_64 random(seed);
     std::uniform_real_distribution<double> draw(0, 1);
-    std::vector<KeptLimit> kept(gateways);
+    std::vector<OwnedLimit> owned(gateways);
     std::vector<TimePoint> granted;
-    const PermitQuestion question{.server = server,
-                                  .wanted = true,
-                                  .advertised = {.perSecond = perSecond, .receivedAt = start}};
-    for (KeptLimit &limit : kept)
-        answerAlone(limit, question, share, draw(random), start);
+    const PermitRequest request{.server = server,
+                                .wanted = true,
+                                .advertised = {.perSecond = perSecond, .receivedAt = start}};
+    for (OwnedLimit &limit : owned)
+        answerWithoutPeers(limit, request, share, draw(random), start);
     const TimePoint surge = start + seconds(60);
     for (TimePoint now = surge; now < surge + seconds(60); now += milliseconds(25)) {
-        for (KeptLimit &limit : kept) {
-            if (answerAlone(limit, question, share, draw(random), now).granted)
+        for (OwnedLimit &limit : owned) {
+            if (answerWithoutPeers(limit, request, share, draw(random), now).granted)
                 granted.push_back(now);
         }
     }
--- a/Tests/Gateway/SidecarTest.cpp
+++ b/Tests/Gateway/SidecarTest.cpp
@@ -3,7 +3,7 @@
 #include "Gateway/DatagramPeer.h"
 #include "Gateway/GatewayUnderTest.h"
 #include "Programs/Sidecar/Sidecar.h"
-#include "Version/KnownEngines.h"
+#include "Version/EngineListCache.h"
 
 using namespace wisteria;
 using namespace wisteria::gateway_tests;
@@ -91,12 +91,12 @@
     constexpr int leads = 4;
     for (int lead = 0; lead < leads; ++lead) {
         other.send(list);
-        other.countWithin<CountsTold>(untilItLeads);
+        other.countWithin<CountsReply>(untilItLeads);
         other.send(poll);
         // Later by a little each time: the lead ends at any moment between question and answer.
-        std::size_t told = other.countWithin<CountsTold>(milliseconds(5 * lead));
+        std::size_t told = other.countWithin<CountsReply>(milliseconds(5 * lead));
         other.send(RankPoll{});
-        told += other.countWithin<CountsTold>(milliseconds(300));
+        told += other.countWithin<CountsReply>(milliseconds(300));
         REQUIRE(told <= 1);
     }
 }
@@ -116,17 +116,17 @@
     const GatewayHello hello{.listDigest = digestOf(list)};
     REQUIRE(eventually([&] {
         gateway.send(hello);
-        return gateway.countWithin<EngineListWanted>(milliseconds(50)) == 1;
+        return gateway.countWithin<EngineListRequest>(milliseconds(50)) == 1;
     }));
     gateway.send(list);
-    REQUIRE(gateway.countWithin<EngineListWanted>(listAskPause) == 0);
+    REQUIRE(gateway.countWithin<EngineListRequest>(listRequestInterval) == 0);
     for (int i = 0; i < 5; ++i)
         gateway.send(hello);
-    REQUIRE(gateway.countWithin<EngineListWanted>(milliseconds(200)) == 0);
+    REQUIRE(gateway.countWithin<EngineListRequest>(milliseconds(200)) == 0);
     // Two gateways that know different lists are not both asked at each hello.
     for (std::uint64_t other = 1; other <= 20; ++other)
         gateway.send(GatewayHello{.listDigest = other});
-    REQUIRE(gateway.countWithin<EngineListWanted>(milliseconds(200)) == 1);
+    REQUIRE(gateway.countWithin<EngineListRequest>(milliseconds(200)) == 1);
 }
 
 // Guards against requests sent, and refused, to engines that are still starting after a loss of
--- a/Tests/Version/CountsCollectionTest.cpp
+++ b/Tests/Version/CountsAggregationTest.cpp
@@ -4,7 +4,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "Version/CountsCollection.h"
+#include "Version/CountsAggregation.h"
 #include "Version/DemandPlacement.h"
 #include "Version/RelayPlan.h"
 
@@ -16,7 +16,7 @@
 const ExpertProfile profile{
     .sets = 8, .expertsPerSet = 252, .expertsPerRank = 5, .loadsPerMap = 2, .loadMilliseconds = 14};
 
-CountsTold toldBy(std::uint64_t epoch, std::vector<std::uint64_t> counts)
+CountsReply toldBy(std::uint64_t epoch, std::vector<std::uint64_t> counts)
 {
     return {.group = "g", .epoch = epoch, .ranks = 1, .passes = 1, .counts = std::move(counts)};
 }
@@ -69,11 +69,11 @@
 {
     Prompts prompts(seed);
     const std::vector<double> slowdowns(rankCount, 1.0);
-    CountsCollection collection{.asker = {}, .since = {}, .awaited = ranks, .sum = {}};
+    CountsAggregation aggregation{.requester = {}, .since = {}, .awaited = ranks, .sum = {}};
     for (std::size_t rank = 0; rank < ranks; ++rank)
-        addCounts(collection, toldBy(1, prompts.countsOfRank()));
+        addCounts(aggregation, toldBy(1, prompts.countsOfRank()));
     ExpertDemand demand;
-    addCounts(demand, profile, collection.sum.counts);
+    addCounts(demand, profile, aggregation.sum.counts);
     RankMap map = firstRankMap(profile, rankCount);
     for (int change = 0; change < 3; ++change) {
         const auto proposal = proposeMap(profile, demand, map, slowdowns, {});
@@ -105,30 +105,30 @@
 TEST_CASE("A sum of counts is told when all have answered, or after a while")
 {
     const TimePoint start{};
-    CountsCollection collection{
-        .asker = {1, 1}, .since = start, .timeout = ownAnswerTime, .awaited = 2, .sum = {}};
-    REQUIRE_FALSE(isDue(collection, start));
-    addCounts(collection, toldBy(1, {1, 2}));
-    REQUIRE_FALSE(isDue(collection, start));
-    REQUIRE(isDue(collection, start + ownAnswerTime));
-    addCounts(collection, toldBy(1, {10, 20}));
-    REQUIRE(isDue(collection, start));
-    REQUIRE(collection.sum.ranks == 2);
-    REQUIRE(collection.sum.counts == std::vector<std::uint64_t>{11, 22});
+    CountsAggregation aggregation{
+        .requester = {1, 1}, .since = start, .timeout = ownAnswerTime, .awaited = 2, .sum = {}};
+    REQUIRE_FALSE(isDue(aggregation, start));
+    addCounts(aggregation, toldBy(1, {1, 2}));
+    REQUIRE_FALSE(isDue(aggregation, start));
+    REQUIRE(isDue(aggregation, start + ownAnswerTime));
+    addCounts(aggregation, toldBy(1, {10, 20}));
+    REQUIRE(isDue(aggregation, start));
+    REQUIRE(aggregation.sum.ranks == 2);
+    REQUIRE(aggregation.sum.counts == std::vector<std::uint64_t>{11, 22});
 }
 
 TEST_CASE("A rank that knows no counts, or those of an earlier group, doesn't spoil a sum")
 {
-    CountsCollection collection{.asker = {1, 1}, .since = {}, .awaited = 4, .sum = {}};
-    addCounts(collection, toldBy(1, {7, 7}));
+    CountsAggregation aggregation{.requester = {1, 1}, .since = {}, .awaited = 4, .sum = {}};
+    addCounts(aggregation, toldBy(1, {7, 7}));
     // The group has formed anew.
-    addCounts(collection, toldBy(2, {1, 2}));
-    addCounts(collection, toldBy(1, {9, 9}));
-    addCounts(collection, toldBy(2, {}));
-    REQUIRE(collection.sum.epoch == 2);
-    REQUIRE(collection.sum.ranks == 2);
-    REQUIRE(collection.sum.counts == std::vector<std::uint64_t>{1, 2});
-    REQUIRE(isDue(collection, {}));
+    addCounts(aggregation, toldBy(2, {1, 2}));
+    addCounts(aggregation, toldBy(1, {9, 9}));
+    addCounts(aggregation, toldBy(2, {}));
+    REQUIRE(aggregation.sum.epoch == 2);
+    REQUIRE(aggregation.sum.ranks == 2);
+    REQUIRE(aggregation.sum.counts == std::vector<std::uint64_t>{1, 2});
+    REQUIRE(isDue(aggregation, {}));
 }
 
 // A sidecar crashes and its rank goes without orders for a second. It had asked itself for counts
@@ -137,27 +137,27 @@
 TEST_CASE("Sums that are due are out of the list before they are told")
 {
     const TimePoint start{};
-    std::vector<CountsCollection> collections;
-    collections.push_back({.asker = {1, 1},
-                           .since = start,
-                           .timeout = ownAnswerTime,
-                           .awaited = 0,
-                           .sum = toldBy(1, {5})});
-    collections.push_back(
-        {.asker = {2, 1}, .since = start, .timeout = ownAnswerTime, .awaited = 3, .sum = {}});
-    collections.push_back({.asker = {3, 1},
-                           .since = start,
-                           .timeout = ownAnswerTime,
-                           .awaited = 0,
-                           .sum = toldBy(1, {6})});
-    for (const CountsCollection &due : takeDue(collections, start)) {
-        REQUIRE(collections.size() == 1);
+    std::vector<CountsAggregation> aggregations;
+    aggregations.push_back({.requester = {1, 1},
+                            .since = start,
+                            .timeout = ownAnswerTime,
+                            .awaited = 0,
+                            .sum = toldBy(1, {5})});
+    aggregations.push_back(
+        {.requester = {2, 1}, .since = start, .timeout = ownAnswerTime, .awaited = 3, .sum = {}});
+    aggregations.push_back({.requester = {3, 1},
+                            .since = start,
+                            .timeout = ownAnswerTime,
+                            .awaited = 0,
+                            .sum = toldBy(1, {6})});
+    for (const CountsAggregation &due : takeDue(aggregations, start)) {
+        REQUIRE(aggregations.size() == 1);
         // Told to the process itself, it comes back to the list.
-        addCounts(collections.front(), due.sum);
+        addCounts(aggregations.front(), due.sum);
     }
-    REQUIRE(collections.front().asker == Endpoint{2, 1});
-    REQUIRE(collections.front().sum.counts == std::vector<std::uint64_t>{11});
-    REQUIRE(takeDue(collections, start).empty());
-    REQUIRE(takeDue(collections, start + ownAnswerTime).size() == 1);
-    REQUIRE(collections.empty());
+    REQUIRE(aggregations.front().requester == Endpoint{2, 1});
+    REQUIRE(aggregations.front().sum.counts == std::vector<std::uint64_t>{11});
+    REQUIRE(takeDue(aggregations, start).empty());
+    REQUIRE(takeDue(aggregations, start + ownAnswerTime).size() == 1);
+    REQUIRE(aggregations.empty());
 }
--- a/Tests/Version/DemandPlacementTest.cpp
+++ b/Tests/Version/DemandPlacementTest.cpp
@@ -6,7 +6,7 @@
 #include <catch2/catch.hpp>
 
 #include "Version/DemandPlacement.h"
-#include "Version/LeaderChoice.h"
+#include "Version/LeaderElection.h"
 #include "Version/RelayPlan.h"
 
 using namespace wisteria;
@@ -157,14 +157,14 @@
 TEST_CASE("One sidecar leads, and the next one follows when it is silent")
 {
     const TimePoint start{seconds(10)};
-    LeaderChoice first{.heardSuperior = {}, .since = start};
-    LeaderChoice second{.heardSuperior = {}, .since = start};
-    REQUIRE_FALSE(leads(first, 0, start + milliseconds(900)));
-    REQUIRE(leads(first, 0, start + milliseconds(1050)));
-    REQUIRE_FALSE(leads(second, 1, start + milliseconds(1050)));
-    noteSuperior(second, start + milliseconds(1100));
-    REQUIRE_FALSE(leads(second, 1, start + milliseconds(2200)));
-    REQUIRE(leads(second, 1, start + milliseconds(2300)));
+    LeaderElection first{.higherPriorityHeardAt = {}, .since = start};
+    LeaderElection second{.higherPriorityHeardAt = {}, .since = start};
+    REQUIRE_FALSE(isLeader(first, 0, start + milliseconds(900)));
+    REQUIRE(isLeader(first, 0, start + milliseconds(1050)));
+    REQUIRE_FALSE(isLeader(second, 1, start + milliseconds(1050)));
+    noteHigherPriorityLeader(second, start + milliseconds(1100));
+    REQUIRE_FALSE(isLeader(second, 1, start + milliseconds(2200)));
+    REQUIRE(isLeader(second, 1, start + milliseconds(2300)));
 }
 
 TEST_CASE("A map travels as changes against one that is known")
@@ -249,12 +249,12 @@
 TEST_CASE("A large message goes through relays that were heard of last, to each receiver once")
 {
     constexpr std::size_t mapBytes = 2000;
-    const RelayLink link = relayLinkOf(8);
+    const LinkBandwidth bandwidth = linkBandwidthOf(8);
     std::vector<Endpoint> engines;
     for (std::uint32_t i = 72; i > 0; --i)
         engines.push_back({i, 1});
-    const auto plan = relayPlan(engines, mapBytes, link);
-    REQUIRE(plan.size() * mapBytes <= linkTimePerStage.count() * link.bytesPerMillisecond);
+    const auto plan = relayPlan(engines, mapBytes, bandwidth);
+    REQUIRE(plan.size() * mapBytes <= linkTimePerStage.count() * bandwidth.bytesPerMillisecond);
     std::vector<Endpoint> reached;
     for (const RelayBranch &branch : plan) {
         REQUIRE(branch.rest.size() == 8);
@@ -269,8 +269,8 @@
     std::sort(engines.begin(), engines.end());
     REQUIRE(reached == engines);
     constexpr std::size_t pollBytes = 4;
-    REQUIRE(relayPlan(engines, pollBytes, link).size() == engines.size());
-    REQUIRE(relayPlan({}, mapBytes, link).empty());
+    REQUIRE(relayPlan(engines, pollBytes, bandwidth).size() == engines.size());
+    REQUIRE(relayPlan({}, mapBytes, bandwidth).empty());
 }
 
 TEST_CASE("A relayed message keeps its receivers and its bytes")
@@ -288,9 +288,9 @@
 TEST_CASE("Counts keep their shares on the way, the small ones too")
 {
     const auto travelled = [](const std::vector<std::uint64_t> &counts) {
-        const auto decoded = decodeMessage(encodeMessage(CountsTold{.counts = counts}));
+        const auto decoded = decodeMessage(encodeMessage(CountsReply{.counts = counts}));
         REQUIRE(decoded.has_value());
-        return std::get<CountsTold>(decoded.value()).counts;
+        return std::get<CountsReply>(decoded.value()).counts;
     };
     std::vector<std::uint64_t> counts;
     for (std::uint64_t i = 0; i < 384; ++i)
@@ -314,7 +314,7 @@
 
 TEST_CASE("Counts that are cut off on the way are refused")
 {
-    const std::string bytes = encodeMessage(CountsTold{.counts = {1, 2, 3, 4, 5, 6, 7}});
+    const std::string bytes = encodeMessage(CountsReply{.counts = {1, 2, 3, 4, 5, 6, 7}});
     for (std::size_t length = 0; length < bytes.size(); ++length)
         REQUIRE(decodeMessage(bytes.substr(0, length)).has_error());
 }
--- a/Tests/Version/FleetTrafficTest.cpp
+++ b/Tests/Version/FleetTrafficTest.cpp
@@ -3,8 +3,8 @@
 
 #include <catch2/catch.hpp>
 
-#include "Version/KnownEngines.h"
-#include "Version/LeaderChoice.h"
+#include "Version/EngineListCache.h"
+#include "Version/LeaderElection.h"
 #include "Version/OrderRetry.h"
 #include "Version/RelayPlan.h"
 #include "Version/SentLoad.h"
@@ -47,8 +47,8 @@
 {
     const EngineList before = fleet(rankCount - 1);
     const EngineList after = fleet(rankCount);
-    KnownEngines known;
-    takeList(known, before);
+    EngineListCache cache;
+    setList(cache, before);
     std::uint32_t fetched = 0;
     const TimePoint start{seconds(100)};
     constexpr milliseconds helloPeriod{600};
@@ -59,14 +59,14 @@
                 start + round * helloPeriod + gateway * helloPeriod / gatewayCount;
             const bool knowsNew = now - start >= readPeriod * gateway / gatewayCount;
             const EngineList &list = knowsNew ? after : before;
-            if (!shouldAskForList(known, digestOf(list), now))
+            if (!shouldRequestList(cache, digestOf(list), now))
                 continue;
-            noteListAsked(known, now);
-            takeList(known, list);
+            noteListRequested(cache, now);
+            setList(cache, list);
             ++fetched;
         }
     }
-    REQUIRE(known.list == after);
+    REQUIRE(cache.list == after);
     REQUIRE(fetched <= 5);
 }
 
@@ -129,25 +129,26 @@
     std::size_t reached = 0;
 };
 
-void follow(const std::vector<Endpoint> &receivers, std::size_t bytes, const RelayLink &link,
-            std::size_t stage, Spread &spread)
+void follow(const std::vector<Endpoint> &receivers, std::size_t bytes,
+            const LinkBandwidth &bandwidth, std::size_t stage, Spread &spread)
 {
     if (receivers.empty())
         return;
-    const auto plan = relayPlan(receivers, bytes, link);
-    const double linkTime = static_cast<double>(plan.size() * bytes) / link.bytesPerMillisecond;
+    const auto plan = relayPlan(receivers, bytes, bandwidth);
+    const double linkTime =
+        static_cast<double>(plan.size() * bytes) / bandwidth.bytesPerMillisecond;
     spread.longestLinkMilliseconds = std::max(spread.longestLinkMilliseconds, linkTime);
     spread.stages = std::max(spread.stages, stage);
     for (const RelayBranch &branch : plan) {
         ++spread.reached;
-        follow(branch.rest, bytes, link, stage + 1, spread);
+        follow(branch.rest, bytes, bandwidth, stage + 1, spread);
     }
 }
 
-Spread spreadOf(std::size_t receivers, std::size_t bytes, const RelayLink &link)
+Spread spreadOf(std::size_t receivers, std::size_t bytes, const LinkBandwidth &bandwidth)
 {
     Spread spread;
-    follow(fleet(static_cast<std::uint32_t>(receivers)).engines, bytes, link, 1, spread);
+    follow(fleet(static_cast<std::uint32_t>(receivers)).engines, bytes, bandwidth, 1, spread);
     return spread;
 }
 
@@ -160,30 +161,30 @@
 TEST_CASE("The counts of 192 ranks keep no link busy for half of a pass")
 {
     constexpr double passMilliseconds = 90;
-    const RelayLink link = relayLinkOf(6);
+    const LinkBandwidth bandwidth = linkBandwidthOf(6);
     const std::size_t bytes =
-        encodeMessage(CountsTold{.group = "assist-lm-1",
-                                 .epoch = 1,
-                                 .ranks = 38,
-                                 .passes = 1,
-                                 .counts = std::vector<std::uint64_t>(std::size_t{10} * 384, 77)})
+        encodeMessage(CountsReply{.group = "assist-lm-1",
+                                  .epoch = 1,
+                                  .ranks = 38,
+                                  .passes = 1,
+                                  .counts = std::vector<std::uint64_t>(std::size_t{10} * 384, 77)})
             .size();
-    const Spread spread = spreadOf(rankCount - 1, bytes, link);
+    const Spread spread = spreadOf(rankCount - 1, bytes, bandwidth);
     REQUIRE(spread.reached == rankCount - 1);
     REQUIRE(spread.longestLinkMilliseconds < passMilliseconds / 2);
     REQUIRE(spread.stages <= 3);
-    REQUIRE(gatherTime(rankCount - 1, bytes, link) < milliseconds(160));
+    REQUIRE(gatherTime(rankCount - 1, bytes, bandwidth) < milliseconds(160));
 }
 
 TEST_CASE("A map for 192 ranks keeps no link busy for long, and few ranks need no relays")
 {
     constexpr std::size_t mapBytes = 4000;
-    const Spread spread = spreadOf(rankCount - 1, mapBytes, relayLinkOf(6));
+    const Spread spread = spreadOf(rankCount - 1, mapBytes, linkBandwidthOf(6));
     REQUIRE(spread.reached == rankCount - 1);
     REQUIRE(spread.longestLinkMilliseconds < 45);
     REQUIRE(spread.stages <= 4);
     constexpr std::size_t smallCounts = 160;
-    REQUIRE(spreadOf(15, smallCounts, relayLinkOf(20)).stages == 1);
+    REQUIRE(spreadOf(15, smallCounts, linkBandwidthOf(20)).stages == 1);
 }
 
 // A failure domain loses power, and with it the first 39 of the list. All others but the first
@@ -194,7 +195,8 @@
     constexpr std::size_t lost = 39;
     constexpr milliseconds pollTakes{40};
     constexpr milliseconds tick{25};
-    std::vector<LeaderChoice> choices(rankCount, LeaderChoice{.heardSuperior = {}, .since = {}});
+    std::vector<LeaderElection> elections(rankCount,
+                                          LeaderElection{.higherPriorityHeardAt = {}, .since = {}});
     std::vector<std::pair<TimePoint, std::size_t>> polls;
     std::size_t mostAtOnce = 0;
     std::size_t leadingNow = 0;
@@ -202,15 +204,15 @@
         for (const auto &[at, from] : polls) {
             if (at > now || now - at >= tick)
                 continue;
-            for (std::size_t place = from + 1; place < rankCount; ++place)
-                noteSuperior(choices[place], now);
+            for (std::size_t position = from + 1; position < rankCount; ++position)
+                noteHigherPriorityLeader(elections[position], now);
         }
         leadingNow = 0;
-        for (std::size_t place = lost; place < rankCount; ++place) {
-            if (!leads(choices[place], place, now))
+        for (std::size_t position = lost; position < rankCount; ++position) {
+            if (!isLeader(elections[position], position, now))
                 continue;
             ++leadingNow;
-            polls.emplace_back(now + pollTakes, place);
+            polls.emplace_back(now + pollTakes, position);
         }
         mostAtOnce = std::max(mostAtOnce, leadingNow);
     }
@@ -232,12 +234,12 @@
         int mostTries = 0;
         for (std::uint32_t rank = 0; rank < rankCount; ++rank) {
             int tries = 1;
-            while (random() % 2 == 0 && givesAgain(tries))
+            while (random() % 2 == 0 && shouldResend(tries))
                 ++tries;
             mostTries = std::max(mostTries, tries);
         }
         onTime += orderTimeout * mostTries <= milliseconds(500) ? 1 : 0;
-        leftToLeader += givesAgain(mostTries) ? 0 : 1;
+        leftToLeader += shouldResend(mostTries) ? 0 : 1;
     }
     REQUIRE(onTime >= runs * 9 / 10);
     REQUIRE(leftToLeader <= runs / 50);
--- a/Tests/Version/HeldGroupTest.cpp
+++ b/Tests/Version/HeldGroupTest.cpp
@@ -44,17 +44,17 @@
 TEST_CASE("The sidecar whose rank holds the group leads soon after its leader fell silent")
 {
     constexpr TimePoint start{seconds(100)};
-    constexpr std::size_t place = 40;
-    LeaderChoice choice{.heardSuperior = start, .since = start};
-    noteLeader(choice, start + seconds(5));
-    noteSuperior(choice, start + seconds(5));
-    noteHold(choice, true, start + seconds(5));
-    REQUIRE_FALSE(leads(choice, place, start + seconds(5) + milliseconds(350)));
-    REQUIRE(leads(choice, place, start + seconds(5) + leaderSilenceWhileHeld));
+    constexpr std::size_t position = 40;
+    LeaderElection election{.higherPriorityHeardAt = start, .since = start};
+    noteLeaderPoll(election, start + seconds(5));
+    noteHigherPriorityLeader(election, start + seconds(5));
+    noteHold(election, true, start + seconds(5));
+    REQUIRE_FALSE(isLeader(election, position, start + seconds(5) + milliseconds(350)));
+    REQUIRE(isLeader(election, position, start + seconds(5) + leaderTimeoutWhileHeld));
     // A leader that is heard goes on with its switch, however long that takes.
-    noteLeader(choice, start + seconds(6));
-    REQUIRE_FALSE(leads(choice, place, start + seconds(6) + milliseconds(350)));
+    noteLeaderPoll(election, start + seconds(6));
+    REQUIRE_FALSE(isLeader(election, position, start + seconds(6) + milliseconds(350)));
     // Once the group goes on, its place in the list counts again.
-    noteHold(choice, false, start + milliseconds(6100));
-    REQUIRE_FALSE(leads(choice, place, start + milliseconds(6500)));
+    noteHold(election, false, start + milliseconds(6100));
+    REQUIRE_FALSE(isLeader(election, position, start + milliseconds(6500)));
 }
--- a/Tests/Version/RankGroupWorld.h
+++ b/Tests/Version/RankGroupWorld.h
@@ -10,7 +10,7 @@
 
 #include "Version/GroupDemand.h"
 #include "Version/GroupViews.h"
-#include "Version/LeaderChoice.h"
+#include "Version/LeaderElection.h"
 #include "Version/RankSwitch.h"
 
 namespace wisteria {
@@ -209,7 +209,7 @@
         leader.until = leader.frozenUntil + milliseconds(300);
         later(remaining(now_, leader.frozenUntil) - milliseconds(5),
               [this, own = leader.rank] { othersArmed_ = armedBut(own); });
-        later(remaining(now_, leader.frozenFrom) + leaderSilenceWhileHeld + milliseconds(25),
+        later(remaining(now_, leader.frozenFrom) + leaderTimeoutWhileHeld + milliseconds(25),
               [this] {
                   leaders_.push_back({GroupSwitch{}, TimePoint::max(), holderOf(0, rankCount)});
               });
@@ -342,7 +342,7 @@
             for (std::size_t leader = 0; leader < leaders_.size(); ++leader) {
                 if (chance(trouble_.lostMessages))
                     continue;
-                const CountsTold counts{
+                const CountsReply counts{
                     .group = "g", .epoch = 1, .ranks = 1, .passes = 1, .counts = rank.counts};
                 const RankStatus told = withoutKnown(leaders_[leader].group, status);
                 later(between(1, 30) + queue(leader), [this, leader, told, counts] {
