--- a/Source/Programs/Bench/PlacementReplay.cpp
+++ b/Source/Programs/Bench/PlacementReplay.cpp
@@ -5,10 +5,10 @@
 #include <map>
 
 #include "Programs/Bench/SkewMeter.h"
-#include "Version/PlacementBound.h"
 #include "Version/PlacementGreedy.h"
 #include "Version/PlacementSearch.h"
 #include "Version/PlacementStaging.h"
+#include "Version/SkewLowerBound.h"
 
 namespace wisteria {
 
@@ -219,15 +219,15 @@
 
 Result<void> Replay::stage(milliseconds now, PlacementDecision decision)
 {
-    ExpertMap present;
+    ExpertMap current;
     for (const LayerPlacement &layer : state_.layers)
-        present.layers.push_back(layer.map);
-    ExpertMap next = present;
+        current.layers.push_back(layer.map);
+    ExpertMap next = current;
     for (const LayerDecision &layer : decision.layers) {
         if (layer.next)
             next.layers[layer.layer] = *layer.next;
     }
-    BOOST_OUTCOME_TRY(plan, planStaging(knownGroup_, present, next));
+    BOOST_OUTCOME_TRY(plan, planStaging(knownGroup_, current, next));
     result_.moves += plan.transfers.size();
     result_.movedBytes += plan.transfers.size() * group_.expertBytes;
     pending_ = PendingSwitch{now + plan.duration, std::move(decision)};
--- a/Source/Programs/Bench/PlacementReplay.h
+++ b/Source/Programs/Bench/PlacementReplay.h
@@ -12,7 +12,7 @@
 /// How a trace is replayed.
 struct ReplayOptions
 {
-    PlacementPolicy policy = PlacementPolicy::Wisteria;
+    PlacementPolicy policy = PlacementPolicy::CostAware;
     /// Time from a line's at_ms until the decision sees its loads. Absent: until the layer's next
     /// line, as loads can't be counted before they were carried.
     std::optional<milliseconds> reportLag;
--- a/Source/Programs/Gateway/SidecarHellos.cpp
+++ b/Source/Programs/Gateway/SidecarHellos.cpp
@@ -18,14 +18,14 @@
 {
     constexpr double bitsPerByte = 8;
     constexpr double millisecondsPerSecond = 1000;
-    const double loadSeconds = engine.linkMegabitsPerSecond > 0
+    const double copySeconds = engine.linkMegabitsPerSecond > 0
         ? engine.expertMegabytes * bitsPerByte / engine.linkMegabitsPerSecond
         : 0;
     return {.sets = engine.expertSets,
             .expertsPerSet = engine.expertsPerSet,
             .expertsPerRank = engine.expertsPerRank,
-            .loadsPerMap = engine.loadsPerMap,
-            .loadMilliseconds = loadSeconds * millisecondsPerSecond};
+            .copiesPerMap = engine.copiesPerMap,
+            .copyMilliseconds = copySeconds * millisecondsPerSecond};
 }
 
 } // namespace
--- a/Source/Programs/Sidecar/GroupLeader.cpp
+++ b/Source/Programs/Sidecar/GroupLeader.cpp
@@ -5,7 +5,7 @@
 
 #include "Programs/Sidecar/SidecarMetrics.h"
 #include "Version/GroupDemand.h"
-#include "Version/GroupViews.h"
+#include "Version/GroupQueries.h"
 
 namespace wisteria {
 
@@ -56,7 +56,7 @@
 bool sameMessage(const SwitchAction &a, const SwitchAction &b)
 {
     return a.order.kind == b.order.kind && a.order.version == b.order.version
-        && a.order.step == b.order.step && a.asChanges == b.asChanges;
+        && a.order.pass == b.order.pass && a.asChanges == b.asChanges;
 }
 
 /// For how long a phase of the present switch lasted so far, in milliseconds.
@@ -90,7 +90,7 @@
     lastReceivedAt_[status.engine] = now;
     if (status.report.group.empty())
         return;
-    wisteria::takeStatus(groups_[status.report.group], status, now);
+    wisteria::applyStatus(groups_[status.report.group], status, now);
 }
 
 void GroupLeader::applyCounts(const CountsReply &reply, TimePoint now)
@@ -98,7 +98,7 @@
     const auto group = groups_.find(reply.group);
     if (group == groups_.end())
         return;
-    takeDemand(group->second, profile_, timing_, reply, now);
+    addDemand(group->second, profile_, timing_, reply, now);
 }
 
 void GroupLeader::work(TimePoint now)
@@ -119,7 +119,7 @@
 void GroupLeader::stop()
 {
     for (auto &[name, group] : groups_)
-        forgetRanks(group);
+        resetRanks(group);
     lastReceivedAt_.clear();
     leadsSince_ = TimePoint();
 }
@@ -179,12 +179,12 @@
     // Versions and holders are told apart by the rank beside the leader.
     if (own == group.ranks.end())
         return;
-    const SwitchStep step =
+    const SwitchUpdate update =
         advanceSwitch(group, profile_, bounds_, timing_,
                       {.rank = own->first, .versionTick = versionTickNow()}, now);
-    if (step.note != SwitchNote::Nothing)
-        noteStep(group, step.note, now);
-    carryOut(group.group, step.actions);
+    if (update.event != SwitchEvent::Nothing)
+        logEvent(group, update.event, now);
+    carryOut(group.group, update.actions);
 }
 
 void GroupLeader::carryOut(const std::string &name, const std::vector<SwitchAction> &actions)
@@ -213,7 +213,7 @@
                {"kind", orderName(action.order.kind)},
                {"rank", action.rank},
                {"version", action.order.version},
-               {"step", action.order.step}});
+               {"step", action.order.pass}});
     const RankOrder order = commandFor(name, action).order;
     engines_.order(action.engine, order, [this, name, action](Result<void> result) {
         const auto group = groups_.find(name);
@@ -307,7 +307,7 @@
         }
         status.readAtMilliseconds = known->second.status.readAtMilliseconds;
         status.experts = known->second.status.experts;
-        wisteria::takeStatus(group->second, status, monotonicNow());
+        wisteria::applyStatus(group->second, status, monotonicNow());
     });
 }
 
@@ -324,29 +324,29 @@
         if (group == groups_.end())
             return;
         status.experts = experts.value();
-        wisteria::takeStatus(group->second, status, monotonicNow());
+        wisteria::applyStatus(group->second, status, monotonicNow());
     });
 }
 
-void GroupLeader::noteStep(const GroupSwitch &group, SwitchNote note, TimePoint now)
+void GroupLeader::logEvent(const GroupSwitch &group, SwitchEvent event, TimePoint now)
 {
-    countSwitchStep(metrics_, group, note, now);
+    countSwitchEvent(metrics_, group, event, now);
     LogFields fields = {{"group", group.group},
-                        {"note", noteText(note)},
+                        {"note", eventText(event)},
                         {"phase", phaseName(group.phase)},
                         {"epoch", group.epoch},
                         {"version", group.version},
-                        {"step", group.step},
+                        {"step", group.pass},
                         {"skew_before", group.proposal.skewBefore},
                         {"skew_after", group.proposal.skewAfter},
-                        {"loads", group.proposal.loads},
+                        {"loads", group.proposal.copies},
                         {"searched_terms", group.proposal.searchedTerms},
                         {"preparing_ms", phaseTime(group, SwitchPhase::Preparing)},
                         {"holding_ms", phaseTime(group, SwitchPhase::Holding)},
                         {"arming_ms", phaseTime(group, SwitchPhase::Arming)},
                         {"releasing_ms", phaseTime(group, SwitchPhase::Releasing)}};
-    if (group.shiftSeenAt)
-        fields["since_shift_ms"] = remaining(*group.shiftSeenAt, now).count();
+    if (group.demandShiftedAt)
+        fields["since_shift_ms"] = remaining(*group.demandShiftedAt, now).count();
     log_.info("map.switch", fields);
 }
 
--- a/Source/Programs/Sidecar/GroupLeader.h
+++ b/Source/Programs/Sidecar/GroupLeader.h
@@ -60,7 +60,7 @@
     void noteReachability(std::size_t silent);
     void readDirectly(const Endpoint &engine);
     void readExpertsDirectly(RankStatus status);
-    void noteStep(const GroupSwitch &group, SwitchNote note, TimePoint now);
+    void logEvent(const GroupSwitch &group, SwitchEvent event, TimePoint now);
 
     EngineClient &engines_;
     EventLog &log_;
--- a/Source/Programs/Sidecar/RankOrderExecutor.cpp
+++ b/Source/Programs/Sidecar/RankOrderExecutor.cpp
@@ -12,7 +12,7 @@
 
 bool sameOrder(const RankOrder &a, const RankOrder &b)
 {
-    return a.kind == b.kind && a.epoch == b.epoch && a.version == b.version && a.step == b.step;
+    return a.kind == b.kind && a.epoch == b.epoch && a.version == b.version && a.pass == b.pass;
 }
 
 } // namespace
@@ -32,7 +32,7 @@
     if (underWay)
         return;
     if (order.kind == RankOrderKind::Prepare) {
-        auto map = completeMap(maps_, profile, groupSize, command);
+        auto map = resolveMap(mapCache_, profile, groupSize, command);
         if (map.has_error()) {
             log_.info("map.refused",
                       {{"version", order.version},
@@ -69,7 +69,7 @@
         log_.info("order.failed",
                   {{"kind", orderName(order.kind)},
                    {"version", order.version},
-                   {"step", order.step},
+                   {"step", order.pass},
                    {"leader", toText(leader)},
                    {"reason", result.error().message}});
     } else if (order.kind == RankOrderKind::Prepare) {
--- a/Source/Programs/Sidecar/RankOrderExecutor.h
+++ b/Source/Programs/Sidecar/RankOrderExecutor.h
@@ -7,7 +7,7 @@
 #include "Process/EventLog.h"
 #include "Process/Metrics.h"
 #include "Programs/Sidecar/EngineClient.h"
-#include "Version/KeptMaps.h"
+#include "Version/ExpertMapCache.h"
 
 namespace wisteria {
 
@@ -24,12 +24,12 @@
                  std::size_t groupSize);
 
     /// Notes the version in force at the engine.
-    void noteInForce(std::uint64_t version) { maps_.inForce = version; }
+    void noteInForce(std::uint64_t version) { mapCache_.inForce = version; }
 
     /// Whether changes may go on from the map of a version.
-    bool knowsMapOf(std::uint64_t version, const ExpertProfile &profile) const
+    bool hasMapOf(std::uint64_t version, const ExpertProfile &profile) const
     {
-        return knowsMap(maps_, profile, version);
+        return hasMap(mapCache_, profile, version);
     }
 
     /// Version of the last order to prepare that the engine took; 0 for none.
@@ -44,7 +44,7 @@
     Metrics &metrics_;
     Endpoint engine_;
     std::function<void()> ended_;
-    KeptMaps maps_;
+    ExpertMapCache mapCache_;
     std::vector<RankOrder> inProgress_;
     std::uint64_t accepted_ = 0;
 };
--- a/Source/Programs/Sidecar/Sidecar.cpp
+++ b/Source/Programs/Sidecar/Sidecar.cpp
@@ -41,7 +41,7 @@
 bool sameSwitchState(const RankReport &a, const RankReport &b)
 {
     return a.epoch == b.epoch && a.map == b.map && a.prepared == b.prepared && a.armed == b.armed
-        && a.heldStep == b.heldStep && a.groupOpen == b.groupOpen;
+        && a.heldPass == b.heldPass && a.groupOpen == b.groupOpen;
 }
 
 } // namespace
@@ -172,7 +172,7 @@
         if (begunAt < appliedAt_)
             return;
         appliedAt_ = begunAt;
-        noteHold(election_, report.heldStep.has_value(), begunAt);
+        noteHold(election_, report.heldPass.has_value(), begunAt);
         const bool changed = !status_ || !sameSwitchState(status_->report, report)
             || status_->accepted != orders_->accepted();
         const bool newMap = !status_ || status_->report.map != report.map
@@ -181,7 +181,7 @@
         status.readAtMilliseconds = static_cast<std::uint64_t>(
             std::chrono::duration_cast<milliseconds>(begunAt.time_since_epoch()).count());
         orders_->noteInForce(report.map);
-        status.mapKnown = orders_->knowsMapOf(report.map, profile());
+        status.mapKnown = orders_->hasMapOf(report.map, profile());
         if (!newMap)
             status.experts = status_->experts;
         status_ = status;
@@ -449,8 +449,8 @@
             CountsReply reply{.group = status_->report.group,
                               .epoch = counts.value().epoch,
                               .ranks = 1,
-                              .passes = counts.value().step
-                                  - std::min(counts.value().step, counts_.step)};
+                              .passes = counts.value().pass
+                                  - std::min(counts.value().pass, counts_.pass)};
             if (reply.passes > 0)
                 reply.counts = countsSince(counts_.counts, counts.value().counts);
             counts_ = std::move(counts.value());
--- a/Source/Programs/Sidecar/SidecarMetrics.cpp
+++ b/Source/Programs/Sidecar/SidecarMetrics.cpp
@@ -2,12 +2,12 @@
 
 namespace wisteria {
 
-void countSwitchStep(Metrics &metrics, const GroupSwitch &group, SwitchNote note, TimePoint now)
+void countSwitchEvent(Metrics &metrics, const GroupSwitch &group, SwitchEvent event, TimePoint now)
 {
     metrics.count("wisteria_map_steps_total", "Steps of switches of expert maps",
-                  {{"group", group.group}, {"note", noteText(note)}});
-    const bool inForce = note == SwitchNote::InForce;
-    if (note != SwitchNote::Preparing && !inForce)
+                  {{"group", group.group}, {"note", eventText(event)}});
+    const bool inForce = event == SwitchEvent::InForce;
+    if (event != SwitchEvent::Preparing && !inForce)
         return;
     metrics.set("wisteria_map_skew_before", "Step-time skew that the last proposed map found",
                 group.proposal.skewBefore, {{"group", group.group}});
@@ -43,7 +43,7 @@
     metrics.set("wisteria_map_version", "Version of the expert map in force at the own rank",
                 static_cast<double>(state.report.map));
     metrics.set("wisteria_group_held", "1 while the own rank holds its group",
-                state.report.heldStep ? 1 : 0);
+                state.report.heldPass ? 1 : 0);
     metrics.set("wisteria_leader", "1 while this sidecar leads its service's groups",
                 state.leading ? 1 : 0);
     metrics.set("wisteria_gateways", "Gateways that are told the engine's load",
--- a/Source/Programs/Sidecar/SidecarMetrics.h
+++ b/Source/Programs/Sidecar/SidecarMetrics.h
@@ -11,7 +11,7 @@
 namespace wisteria {
 
 /// Counts a step of a switch of maps, as the group's leader sees it.
-void countSwitchStep(Metrics &metrics, const GroupSwitch &group, SwitchNote note, TimePoint now);
+void countSwitchEvent(Metrics &metrics, const GroupSwitch &group, SwitchEvent event, TimePoint now);
 
 /// @param result "done", or the kind of failure.
 void countOrder(Metrics &metrics, RankOrderKind kind, const std::string &result);
--- a/Source/Version/DemandPlacement.cpp
+++ b/Source/Version/DemandPlacement.cpp
@@ -12,8 +12,8 @@
 
 /// Share of the counts that is left after a while. A shift of demand clears them, so what fades is
 /// the noise of single prompts: some ten passes count.
-constexpr double fadeTo = 0.05;
-constexpr milliseconds fadeTime{1000};
+constexpr double decayTo = 0.05;
+constexpr milliseconds decayTime{1000};
 /// Counts of a set below which its demand is too uncertain to act on: the noise of one expert's
 /// count is then still a tenth of it.
 constexpr double leastCounts = 4000;
@@ -23,20 +23,20 @@
 /// idlest anyway; looking at more of them takes longer and leads to the same skew.
 constexpr std::uint32_t searchPartners = 8;
 
-void fade(ExpertDemand &demand, TimePoint now)
+void decay(ExpertDemand &demand, TimePoint now)
 {
-    if (!demand.fadedAt) {
-        demand.fadedAt = now;
+    if (!demand.decayedAt) {
+        demand.decayedAt = now;
         return;
     }
-    const std::chrono::duration<double> passed = now - *demand.fadedAt;
-    const std::chrono::duration<double> unit = fadeTime;
-    const double factor = std::pow(fadeTo, passed.count() / unit.count());
+    const std::chrono::duration<double> passed = now - *demand.decayedAt;
+    const std::chrono::duration<double> unit = decayTime;
+    const double factor = std::pow(decayTo, passed.count() / unit.count());
     for (std::vector<double> &set : demand.loads) {
         for (double &load : set)
             load *= factor;
     }
-    demand.fadedAt = now;
+    demand.decayedAt = now;
 }
 
 /// A rank this much slower than usual holds no experts: spread over the others, its share costs
@@ -85,14 +85,14 @@
 
 std::optional<Destination> destinationFor(const RankGroup &group, const LayerMap &map,
                                           const std::vector<double> &loads, ExpertId expert,
-                                          const std::vector<std::uint32_t> &room)
+                                          const std::vector<std::uint32_t> &capacity)
 {
     const std::vector<double> times = rankTimes(group, map, loads);
     std::optional<Destination> best;
     for (std::size_t rank = 0; rank < map.ranks.size(); ++rank) {
         const std::vector<ExpertId> &held = map.ranks[rank];
         const bool holds = std::find(held.begin(), held.end(), expert) != held.end();
-        if (group.ranks[rank].slots == 0 || room[rank] == 0 || holds)
+        if (group.ranks[rank].slots == 0 || capacity[rank] == 0 || holds)
             continue;
         if (best && times[rank] >= times[best->rank])
             continue;
@@ -111,7 +111,7 @@
 /// Takes the experts off the ranks that may hold none. One without any other replica stays where
 /// it is when no rank has room for it.
 LayerMap withoutEmptied(const RankGroup &group, LayerMap map, const std::vector<double> &loads,
-                        std::vector<std::uint32_t> room)
+                        std::vector<std::uint32_t> capacity)
 {
     for (std::size_t rank = 0; rank < map.ranks.size(); ++rank) {
         if (group.ranks[rank].slots > 0)
@@ -119,10 +119,10 @@
         const std::vector<ExpertId> leaving = map.ranks[rank];
         for (const ExpertId expert : leaving) {
             if (replicasOf(map, expert) < 2) {
-                const auto to = destinationFor(group, map, loads, expert, room);
+                const auto to = destinationFor(group, map, loads, expert, capacity);
                 if (!to)
                     continue;
-                --room[to->rank];
+                --capacity[to->rank];
                 std::vector<ExpertId> &held = map.ranks[to->rank];
                 if (to->slot < held.size())
                     held[to->slot] = expert;
@@ -137,32 +137,32 @@
 
 /// The sets in the order of their skew, the worst first: it has the first use of the copies.
 std::vector<SetSearch> worstFirst(const RankGroup &group, const ExpertDemand &demand,
-                                  const RankMap &present)
+                                  const RankMap &current)
 {
     std::vector<SetSearch> order;
-    for (std::size_t set = 0; set < present.size(); ++set)
-        order.push_back({set, layerSkew(group, LayerMap{present[set]}, demand.loads[set])});
+    for (std::size_t set = 0; set < current.size(); ++set)
+        order.push_back({set, layerSkew(group, LayerMap{current[set]}, demand.loads[set])});
     std::sort(order.begin(), order.end(),
               [](const SetSearch &a, const SetSearch &b) { return a.skew > b.skew; });
     return order;
 }
 
 /// Experts that one rank may load for one change.
-std::uint32_t loadsPerRank(const ExpertProfile &profile, const PlacementBounds &bounds)
+std::uint32_t copiesPerRank(const ExpertProfile &profile, const PlacementBounds &bounds)
 {
-    const auto most = profile.loadsPerMap * profile.sets;
-    if (profile.loadMilliseconds <= 0)
-        return most;
-    const double fit = static_cast<double>(bounds.copyTime.count()) / profile.loadMilliseconds;
-    return std::clamp(static_cast<std::uint32_t>(std::min(fit, 1e6)), 1U, std::max(1U, most));
+    const auto maxCopies = profile.copiesPerMap * profile.sets;
+    if (profile.copyMilliseconds <= 0)
+        return maxCopies;
+    const double fit = static_cast<double>(bounds.copyTime.count()) / profile.copyMilliseconds;
+    return std::clamp(static_cast<std::uint32_t>(std::min(fit, 1e6)), 1U, std::max(1U, maxCopies));
 }
 
 /// Skew of one set that each loaded expert must gain.
-double leastGainPerLoad(const ExpertProfile &profile, const PlacementBounds &bounds)
+double minGainPerCopy(const ExpertProfile &profile, const PlacementBounds &bounds)
 {
     constexpr double millisecondsPerSecond = 1000;
-    const double copySeconds = profile.loadMilliseconds / millisecondsPerSecond;
-    return bounds.leastGainPerCopySecond * copySeconds * profile.sets;
+    const double copySeconds = profile.copyMilliseconds / millisecondsPerSecond;
+    return bounds.minGainPerCopySecond * copySeconds * profile.sets;
 }
 
 bool enoughCounts(const ExpertDemand &demand, std::size_t sets)
@@ -201,11 +201,11 @@
         demand.loads[i / experts][i % experts] += static_cast<double>(counts[i]);
 }
 
-void takeWindow(ExpertDemand &demand, const ExpertDemand &window, TimePoint now)
+void mergeWindow(ExpertDemand &demand, const ExpertDemand &window, TimePoint now)
 {
     if (window.loads.empty())
         return;
-    fade(demand, now);
+    decay(demand, now);
     if (demand.loads.size() != window.loads.size()) {
         demand.loads = window.loads;
         return;
@@ -240,47 +240,47 @@
 }
 
 std::optional<PlacementProposal> proposeMap(const ExpertProfile &profile,
-                                            const ExpertDemand &demand, const RankMap &present,
+                                            const ExpertDemand &demand, const RankMap &current,
                                             const std::vector<double> &slowdowns,
                                             const PlacementBounds &bounds)
 {
-    if (!enoughCounts(demand, present.size()))
+    if (!enoughCounts(demand, current.size()))
         return std::nullopt;
-    const std::size_t ranks = present.front().size();
+    const std::size_t ranks = current.front().size();
     const RankGroup group = groupFor(profile, slowdowns);
-    PlacementProposal proposal{.map = present,
-                               .skewBefore = demandSkew(demand, present, slowdowns)};
+    PlacementProposal proposal{.map = current,
+                               .skewBefore = demandSkew(demand, current, slowdowns)};
     // No map is better than balanced: most looks end here, without a search of milliseconds.
-    if (proposal.skewBefore - 1 < bounds.leastGain)
+    if (proposal.skewBefore - 1 < bounds.minGain)
         return std::nullopt;
-    std::vector<std::uint32_t> left(ranks, loadsPerRank(profile, bounds));
-    for (const SetSearch &entry : worstFirst(group, demand, present)) {
-        const LayerMap layer{present[entry.set]};
+    std::vector<std::uint32_t> left(ranks, copiesPerRank(profile, bounds));
+    for (const SetSearch &entry : worstFirst(group, demand, current)) {
+        const LayerMap layer{current[entry.set]};
         const double total = sumOf(demand.loads[entry.set]);
         const SearchProblem problem{
             .loads = demand.loads[entry.set],
             .noise = std::sqrt(static_cast<double>(profile.expertsPerSet) / total)};
-        SearchLimits limits{.maxMoves = static_cast<std::uint32_t>(ranks) * profile.loadsPerMap,
-                            .minGainPerMove = leastGainPerLoad(profile, bounds),
-                            .stagingRoom = left,
+        SearchLimits limits{.maxMoves = static_cast<std::uint32_t>(ranks) * profile.copiesPerMap,
+                            .minGainPerMove = minGainPerCopy(profile, bounds),
+                            .stagingCapacity = left,
                             .partners = searchPartners};
-        for (std::uint32_t &room : limits.stagingRoom)
-            room = std::min(room, profile.loadsPerMap);
+        for (std::uint32_t &capacity : limits.stagingCapacity)
+            capacity = std::min(capacity, profile.copiesPerMap);
         SearchBudget budget{.terms = searchTerms};
-        const LayerMap start = withoutEmptied(group, layer, problem.loads, limits.stagingRoom);
+        const LayerMap start = withoutEmptied(group, layer, problem.loads, limits.stagingCapacity);
         const SearchResult found = improveLayerMap(group, layer, start, problem, limits, budget);
         proposal.map[entry.set] = found.map.ranks;
-        proposal.loads += found.moves;
+        proposal.copies += found.moves;
         proposal.searchedTerms += searchTerms - budget.terms;
         for (std::size_t rank = 0; rank < ranks; ++rank) {
-            const auto loaded =
-                missingExperts(present[entry.set][rank], found.map.ranks[rank]).size();
-            left[rank] -= std::min(left[rank], static_cast<std::uint32_t>(loaded));
+            const auto copied =
+                missingExperts(current[entry.set][rank], found.map.ranks[rank]).size();
+            left[rank] -= std::min(left[rank], static_cast<std::uint32_t>(copied));
         }
     }
     proposal.skewAfter = demandSkew(demand, proposal.map, slowdowns);
     const double gain = proposal.skewBefore - proposal.skewAfter;
-    if (proposal.map == present || gain < bounds.leastGain)
+    if (proposal.map == current || gain < bounds.minGain)
         return std::nullopt;
     return proposal;
 }
--- a/Source/Version/DemandPlacement.h
+++ b/Source/Version/DemandPlacement.h
@@ -18,7 +18,7 @@
 {
     /// Faded counts, by set and expert.
     std::vector<std::vector<double>> loads;
-    std::optional<TimePoint> fadedAt;
+    std::optional<TimePoint> decayedAt;
 };
 
 /// What a rank counted since it was last asked, one set after the other. Differences take a third
@@ -33,7 +33,7 @@
                const std::vector<std::uint64_t> &counts);
 
 /// Fades the demand and adds what came since.
-void takeWindow(ExpertDemand &demand, const ExpertDemand &window, TimePoint now);
+void mergeWindow(ExpertDemand &demand, const ExpertDemand &window, TimePoint now);
 
 /// Skew, averaged over the sets, by which the counts of a moment must exceed what is known for
 /// demand to count as shifted. The prompts of one pass of a large group stay below it, and a shift
@@ -50,10 +50,10 @@
 {
     /// Skew, averaged over the sets, that a change must gain at least. While experts are copied
     /// each pass takes longer: changes for less slow a loaded group down more than they gain.
-    double leastGain = 0.25;
+    double minGain = 0.25;
     /// Skew, averaged over the sets, that each second of copying one expert must gain at least;
     /// halves the memory that is copied.
-    double leastGainPerCopySecond = 0.045;
+    double minGainPerCopySecond = 0.045;
     /// Longest time that one rank may copy for one change, over all sets: the copies of a rank come
     /// one after the other, and the slowest rank sets the moment of the switch.
     milliseconds copyTime{340};
@@ -67,7 +67,7 @@
     double skewBefore = 1;
     double skewAfter = 1;
     /// Experts to be copied.
-    std::uint32_t loads = 0;
+    std::uint32_t copies = 0;
     /// Work of the search, in ranks' times evaluated; a million take some 10 ms of a core.
     std::uint64_t searchedTerms = 0;
 };
@@ -77,7 +77,7 @@
 /// gets no experts at all: all ranks wait for it in every pass.
 /// @return Nothing when the gain is not worth the copies, or too little demand is known.
 std::optional<PlacementProposal> proposeMap(const ExpertProfile &profile,
-                                            const ExpertDemand &demand, const RankMap &present,
+                                            const ExpertDemand &demand, const RankMap &current,
                                             const std::vector<double> &slowdowns,
                                             const PlacementBounds &bounds);
 
--- a/Source/Version/ExpertMap.cpp
+++ b/Source/Version/ExpertMap.cpp
@@ -172,17 +172,17 @@
     return moves;
 }
 
-bool reserveStagingRoom(std::vector<std::uint32_t> &room, const LayerMap &present,
-                        const LayerMap &next)
+bool reserveStagingCapacity(std::vector<std::uint32_t> &capacity, const LayerMap &current,
+                            const LayerMap &next)
 {
-    std::vector<std::uint32_t> left = room;
+    std::vector<std::uint32_t> left = capacity;
     for (std::size_t rank = 0; rank < left.size(); ++rank) {
-        const std::size_t needed = missingExperts(present.ranks[rank], next.ranks[rank]).size();
+        const std::size_t needed = missingExperts(current.ranks[rank], next.ranks[rank]).size();
         if (needed > left[rank])
             return false;
         left[rank] -= static_cast<std::uint32_t>(needed);
     }
-    room = std::move(left);
+    capacity = std::move(left);
     return true;
 }
 
--- a/Source/Version/ExpertMap.h
+++ b/Source/Version/ExpertMap.h
@@ -94,7 +94,7 @@
 /// stage. Empty room is unbounded. While new replicas are staged, the old ones are still in use:
 /// without the room, the rank would run out of memory in the middle of a step.
 /// @return Whether there was room; otherwise nothing is taken.
-bool reserveStagingRoom(std::vector<std::uint32_t> &room, const LayerMap &present,
-                        const LayerMap &next);
+bool reserveStagingCapacity(std::vector<std::uint32_t> &capacity, const LayerMap &current,
+                            const LayerMap &next);
 
 } // namespace wisteria
--- /dev/null
+++ b/Source/Version/ExpertMapCache.cpp
@@ -0,0 +1,50 @@
+#include "Version/ExpertMapCache.h"
+
+#include <utility>
+
+namespace wisteria {
+
+namespace {
+
+/// Maps that are kept beside the one in force: the one being prepared, and some that were given up.
+constexpr std::size_t keptBesideInForce = 3;
+
+void forgetOldest(ExpertMapCache &cache)
+{
+    for (auto oldest = cache.byVersion.begin();
+         oldest != cache.byVersion.end() && cache.byVersion.size() > keptBesideInForce + 1;) {
+        if (oldest->first == cache.inForce)
+            ++oldest;
+        else
+            oldest = cache.byVersion.erase(oldest);
+    }
+}
+
+} // namespace
+
+bool hasMap(const ExpertMapCache &cache, const ExpertProfile &profile, std::uint64_t version)
+{
+    return version == 0 ? profile.sets > 0 : cache.byVersion.contains(version);
+}
+
+Result<RankMap> resolveMap(ExpertMapCache &cache, const ExpertProfile &profile, std::size_t ranks,
+                           const RankCommand &command)
+{
+    RankMap map = command.order.map;
+    if (map.empty()) {
+        if (!hasMap(cache, profile, command.base)) {
+            return failure(ErrorKind::NotFound,
+                           "the map of version " + std::to_string(command.base)
+                               + ", which the changes go on from, is not known here");
+        }
+        const RankMap base =
+            command.base == 0 ? firstRankMap(profile, ranks) : cache.byVersion.at(command.base);
+        BOOST_OUTCOME_TRY(changed, applyChanges(base, command.changes));
+        map = std::move(changed);
+    }
+    cache.byVersion[command.order.version] = map;
+    forgetOldest(cache);
+    return map;
+}
+
+} // namespace wisteria
--- a/Source/Version/GroupDemand.cpp
+++ b/Source/Version/GroupDemand.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "Version/GroupViews.h"
+#include "Version/GroupQueries.h"
 
 namespace wisteria {
 
@@ -17,16 +17,16 @@
     group.windowRanks = 0;
     if (passes == 0)
         return;
-    const bool shifted = !group.shiftSeen
-        && hasShifted(group.demand, window, presentMap(group, profile), slowdownsOf(group));
+    const bool shifted = !group.demandShifted
+        && hasShifted(group.demand, window, currentMap(group, profile), slowdownsOf(group));
     if (shifted) {
         group.demand = {};
-        group.shiftSeenAt = now;
+        group.demandShiftedAt = now;
     }
-    group.shiftSeen = shifted && passes > 1;
-    if (group.shiftSeen)
+    group.demandShifted = shifted && passes > 1;
+    if (group.demandShifted)
         return;
-    takeWindow(group.demand, window, now);
+    mergeWindow(group.demand, window, now);
     group.demandIsNew = true;
 }
 
@@ -39,8 +39,8 @@
         closeWindow(group, profile, now);
 }
 
-void takeDemand(GroupSwitch &group, const ExpertProfile &profile, const SwitchTiming &timing,
-                const CountsReply &reply, TimePoint now)
+void addDemand(GroupSwitch &group, const ExpertProfile &profile, const SwitchTiming &timing,
+               const CountsReply &reply, TimePoint now)
 {
     if (reply.epoch != group.epoch)
         return;
--- a/Source/Version/GroupDemand.h
+++ b/Source/Version/GroupDemand.h
@@ -10,8 +10,8 @@
 /// that was known is forgotten. A window of several passes is left out as well, as it holds counts
 /// of before and after: a map made for the mixture fits neither, and another switch would have to
 /// follow.
-void takeDemand(GroupSwitch &group, const ExpertProfile &profile, const SwitchTiming &timing,
-                const CountsReply &reply, TimePoint now);
+void addDemand(GroupSwitch &group, const ExpertProfile &profile, const SwitchTiming &timing,
+               const CountsReply &reply, TimePoint now);
 
 /// Ends a window whose counts should all have arrived: a rank may be gone, or an answer lost.
 void closeOverdueWindow(GroupSwitch &group, const ExpertProfile &profile,
--- a/Source/Version/GroupMessages.cpp
+++ b/Source/Version/GroupMessages.cpp
@@ -67,8 +67,8 @@
 Json encode(const EngineList &list)
 {
     const ExpertProfile &profile = list.profile;
-    return {MessageKind::List,      profile.sets,        profile.expertsPerSet,
-            profile.expertsPerRank, profile.loadsPerMap, profile.loadMilliseconds,
+    return {MessageKind::List,      profile.sets,         profile.expertsPerSet,
+            profile.expertsPerRank, profile.copiesPerMap, profile.copyMilliseconds,
             encode(list.engines)};
 }
 
@@ -78,8 +78,8 @@
     list.profile = {.sets = json.at(1).get<std::uint32_t>(),
                     .expertsPerSet = json.at(2).get<std::uint32_t>(),
                     .expertsPerRank = json.at(3).get<std::uint32_t>(),
-                    .loadsPerMap = json.at(4).get<std::uint32_t>(),
-                    .loadMilliseconds = json.at(5).get<double>()};
+                    .copiesPerMap = json.at(4).get<std::uint32_t>(),
+                    .copyMilliseconds = json.at(5).get<double>()};
     list.engines = decodeEndpoints(json.at(6));
     return list;
 }
@@ -117,12 +117,12 @@
             report.rank,
             report.groupSize,
             report.groupOpen,
-            report.step,
+            report.pass,
             report.map,
             report.prepared,
             report.armed,
-            report.armedStep,
-            report.heldStep.value_or(0),
+            report.armedPass,
+            report.heldPass.value_or(0),
             report.slowdown};
 }
 
@@ -136,13 +136,13 @@
     report.rank = json.at(4).get<std::uint32_t>();
     report.groupSize = json.at(5).get<std::uint32_t>();
     report.groupOpen = json.at(6).get<bool>();
-    report.step = json.at(7).get<std::uint64_t>();
+    report.pass = json.at(7).get<std::uint64_t>();
     report.map = json.at(8).get<std::uint64_t>();
     report.prepared = json.at(9).get<std::uint64_t>();
     report.armed = json.at(10).get<std::uint64_t>();
-    report.armedStep = json.at(11).get<std::uint64_t>();
+    report.armedPass = json.at(11).get<std::uint64_t>();
     if (const auto held = json.at(12).get<std::uint64_t>(); held != 0)
-        report.heldStep = held;
+        report.heldPass = held;
     report.slowdown = json.at(13).get<double>();
     return report;
 }
@@ -237,19 +237,19 @@
     for (const RankMapChange &change : command.changes)
         changes.push_back(Json::array({change.set, change.rank, change.experts}));
     return {MessageKind::Command, order.kind, order.epoch,  order.version,
-            order.step,           order.map,  command.base, std::move(changes)};
+            order.pass,           order.map,  command.base, std::move(changes)};
 }
 
 RankCommand decodeCommand(const Json &json)
 {
     RankCommand command;
     const auto kind = json.at(1).get<int>();
-    if (kind < 0 || kind > static_cast<int>(RankOrderKind::Go))
+    if (kind < 0 || kind > static_cast<int>(RankOrderKind::Release))
         throw std::out_of_range("unknown order");
     command.order = {.kind = static_cast<RankOrderKind>(kind),
                      .epoch = json.at(2).get<std::uint64_t>(),
                      .version = json.at(3).get<std::uint64_t>(),
-                     .step = json.at(4).get<std::uint64_t>(),
+                     .pass = json.at(4).get<std::uint64_t>(),
                      .map = json.at(5).get<RankMap>()};
     command.base = json.at(6).get<std::uint64_t>();
     for (const Json &change : json.at(7)) {
@@ -396,8 +396,8 @@
     boost::hash_combine(digest, profile.sets);
     boost::hash_combine(digest, profile.expertsPerSet);
     boost::hash_combine(digest, profile.expertsPerRank);
-    boost::hash_combine(digest, profile.loadsPerMap);
-    boost::hash_combine(digest, profile.loadMilliseconds);
+    boost::hash_combine(digest, profile.copiesPerMap);
+    boost::hash_combine(digest, profile.copyMilliseconds);
     for (const Endpoint &engine : list.engines) {
         boost::hash_combine(digest, engine.ip);
         boost::hash_combine(digest, engine.port);
--- a/Source/Version/GroupMessages.h
+++ b/Source/Version/GroupMessages.h
@@ -20,9 +20,9 @@
     std::uint32_t expertsPerSet = 0;
     std::uint32_t expertsPerRank = 0;
     /// Experts of a set that one rank may load for one new map.
-    std::uint32_t loadsPerMap = 0;
+    std::uint32_t copiesPerMap = 0;
     /// Time that one expert's weights take to a rank, in milliseconds.
-    double loadMilliseconds = 0;
+    double copyMilliseconds = 0;
 
     bool operator==(const ExpertProfile &) const = default;
 };
--- a/Source/Version/GroupViews.cpp
+++ b/Source/Version/GroupQueries.cpp
@@ -1,12 +1,12 @@
-#include "Version/GroupViews.h"
+#include "Version/GroupQueries.h"
 
 #include <algorithm>
 
 namespace wisteria {
 
-bool isArmed(const RankReport &report, std::uint64_t version, std::uint64_t step)
+bool isArmed(const RankReport &report, std::uint64_t version, std::uint64_t pass)
 {
-    return report.armed == version && report.armedStep == step;
+    return report.armed == version && report.armedPass == pass;
 }
 
 bool hasVersion(const RankReport &report, std::uint64_t version)
@@ -14,16 +14,16 @@
     return report.prepared == version || report.armed == version || report.map == version;
 }
 
-bool lacksForGood(const RankReport &report, std::uint64_t version)
+bool hasSuperseded(const RankReport &report, std::uint64_t version)
 {
     const std::uint64_t highest = std::max({report.map, report.prepared, report.armed});
     return highest > version && !hasVersion(report, version);
 }
 
-bool anyLacksForGood(const GroupSwitch &group, std::uint64_t version)
+bool anyHasSuperseded(const GroupSwitch &group, std::uint64_t version)
 {
     return std::any_of(group.ranks.begin(), group.ranks.end(), [version](const auto &entry) {
-        return lacksForGood(entry.second.status.report, version);
+        return hasSuperseded(entry.second.status.report, version);
     });
 }
 
@@ -33,14 +33,14 @@
                        [](const auto &entry) { return entry.second.status.report.armed != 0; });
 }
 
-bool allKnown(const GroupSwitch &group, const SwitchTiming &timing, TimePoint now)
+bool allRanksCurrent(const GroupSwitch &group, const SwitchTiming &timing, TimePoint now)
 {
     const std::uint32_t size = groupSizeOf(group);
-    return size > 0 && allKnownBut(group, size, timing, now);
+    return size > 0 && allRanksCurrentExcept(group, size, timing, now);
 }
 
-bool allKnownBut(const GroupSwitch &group, std::uint32_t rank, const SwitchTiming &timing,
-                 TimePoint now)
+bool allRanksCurrentExcept(const GroupSwitch &group, std::uint32_t rank, const SwitchTiming &timing,
+                           TimePoint now)
 {
     const std::uint32_t size = groupSizeOf(group);
     for (std::uint32_t other = 0; other < size; ++other) {
@@ -48,7 +48,7 @@
             continue;
         const auto known = group.ranks.find(other);
         const bool fresh = known != group.ranks.end() && known->second.status.report.groupOpen
-            && now - known->second.at <= timing.statusLifetime;
+            && now - known->second.receivedAt <= timing.statusLifetime;
         if (!fresh)
             return false;
     }
@@ -65,20 +65,20 @@
     return groupSize == 0 ? leaderRank : (leaderRank + 1) % groupSize;
 }
 
-std::uint32_t leaderBehind(std::uint32_t holder, std::uint32_t groupSize)
+std::uint32_t leaderOfHolder(std::uint32_t holder, std::uint32_t groupSize)
 {
     return groupSize == 0 ? holder : (holder + groupSize - 1) % groupSize;
 }
 
-std::uint64_t furthestStep(const GroupSwitch &group)
+std::uint64_t latestPass(const GroupSwitch &group)
 {
-    std::uint64_t step = 0;
+    std::uint64_t pass = 0;
     for (const auto &[rank, view] : group.ranks)
-        step = std::max(step, view.status.report.step);
-    return step;
+        pass = std::max(pass, view.status.report.pass);
+    return pass;
 }
 
-RankMap presentMap(const GroupSwitch &group, const ExpertProfile &profile)
+RankMap currentMap(const GroupSwitch &group, const ExpertProfile &profile)
 {
     if (group.ranks.empty())
         return {};
@@ -95,11 +95,11 @@
     return map;
 }
 
-RankMap presentMapOfKnown(const GroupSwitch &group, const ExpertProfile &profile)
+RankMap currentMapOfKnown(const GroupSwitch &group, const ExpertProfile &profile)
 {
     const std::uint32_t size = groupSizeOf(group);
     if (group.ranks.size() >= size)
-        return presentMap(group, profile);
+        return currentMap(group, profile);
     if (group.ranks.size() + 1 < size)
         return {};
     std::uint32_t unknown = 0;
@@ -124,7 +124,7 @@
                 rest.push_back(expert);
         }
     }
-    return presentMap(whole, profile);
+    return currentMap(whole, profile);
 }
 
 std::vector<std::uint64_t> knownMaps(const GroupSwitch &group)
@@ -145,11 +145,12 @@
     return versions;
 }
 
-std::size_t silentRanks(const GroupSwitch &group, milliseconds silentAfter, TimePoint now)
+std::size_t unresponsiveRanks(const GroupSwitch &group, milliseconds silentAfter, TimePoint now)
 {
     return static_cast<std::size_t>(
-        std::count_if(group.ranks.begin(), group.ranks.end(),
-                      [&](const auto &entry) { return now - entry.second.at > silentAfter; }));
+        std::count_if(group.ranks.begin(), group.ranks.end(), [&](const auto &entry) {
+            return now - entry.second.receivedAt > silentAfter;
+        }));
 }
 
 std::vector<double> slowdownsOf(const GroupSwitch &group)
@@ -160,31 +161,31 @@
     return slowdowns;
 }
 
-std::vector<Held> holdsOf(const GroupSwitch &group)
+std::vector<GroupHold> holdsOf(const GroupSwitch &group)
 {
-    std::vector<Held> holds;
+    std::vector<GroupHold> holds;
     for (const auto &[rank, view] : group.ranks) {
-        if (view.status.report.heldStep)
-            holds.push_back({rank, *view.status.report.heldStep});
+        if (view.status.report.heldPass)
+            holds.push_back({rank, *view.status.report.heldPass});
     }
     return holds;
 }
 
-std::optional<ArmedSwitch> armedAlike(const GroupSwitch &group)
+std::optional<ArmedSwitch> commonArmedSwitch(const GroupSwitch &group)
 {
-    std::optional<ArmedSwitch> alike;
+    std::optional<ArmedSwitch> common;
     for (const auto &[rank, view] : group.ranks) {
         const RankReport &report = view.status.report;
-        if (report.armed != 0 && !alike)
-            alike = ArmedSwitch{report.armed, report.armedStep};
+        if (report.armed != 0 && !common)
+            common = ArmedSwitch{report.armed, report.armedPass};
     }
-    if (!alike || group.ranks.size() < groupSizeOf(group))
+    if (!common || group.ranks.size() < groupSizeOf(group))
         return std::nullopt;
     const bool all = std::all_of(group.ranks.begin(), group.ranks.end(), [&](const auto &entry) {
         const RankReport &report = entry.second.status.report;
-        return isArmed(report, alike->version, alike->step) || report.map == alike->version;
+        return isArmed(report, common->version, common->pass) || report.map == common->version;
     });
-    return all ? alike : std::nullopt;
+    return all ? common : std::nullopt;
 }
 
 } // namespace wisteria
--- a/Source/Version/LayerSearch.cpp
+++ b/Source/Version/LayerSearch.cpp
@@ -30,22 +30,22 @@
 
 } // namespace
 
-LayerSearch::LayerSearch(const RankGroup &group, const LayerMap &present, const LayerMap &start,
+LayerSearch::LayerSearch(const RankGroup &group, const LayerMap &current, const LayerMap &start,
                          const SearchProblem &problem, const SearchLimits &limits,
                          SearchBudget &budget)
     : group_(group), limits_(limits), budget_(budget), map_(start),
       loads_(scaledLoads(group, problem.loads)), relativeVariance_(problem.noise * problem.noise),
-      held_(group.ranks.size() * loads_.size(), 0), presentHeld_(held_),
-      loaded_(group.ranks.size(), 0), holders_(loads_.size()), loadChange_(group.ranks.size(), 0.0),
+      held_(group.ranks.size() * loads_.size(), 0), currentHeld_(held_),
+      copied_(group.ranks.size(), 0), holders_(loads_.size()), loadChange_(group.ranks.size(), 0.0),
       squareChange_(group.ranks.size(), 0.0)
 {
     for (std::size_t rank = 0; rank < map_.ranks.size(); ++rank) {
-        for (const ExpertId expert : present.ranks[rank])
-            presentHeld_[index(rank, expert)] = 1;
+        for (const ExpertId expert : current.ranks[rank])
+            currentHeld_[index(rank, expert)] = 1;
         for (const ExpertId expert : map_.ranks[rank]) {
             held_[index(rank, expert)] = 1;
             holders_[expert].push_back(rank);
-            loaded_[rank] += isNew(rank, expert) ? 1 : 0;
+            copied_[rank] += isNew(rank, expert) ? 1 : 0;
         }
     }
     setUpRanks();
@@ -108,11 +108,11 @@
     }
 }
 
-bool LayerSearch::hasRoom(std::size_t rank, ExpertId expert) const
+bool LayerSearch::hasCapacity(std::size_t rank, ExpertId expert) const
 {
-    if (limits_.stagingRoom.empty())
+    if (limits_.stagingCapacity.empty())
         return true;
-    return loaded_[rank] + (isNew(rank, expert) ? 1 : 0) <= limits_.stagingRoom[rank];
+    return copied_[rank] + (isNew(rank, expert) ? 1 : 0) <= limits_.stagingCapacity[rank];
 }
 
 void LayerSearch::touch(std::size_t rank, double load, double square)
@@ -188,7 +188,7 @@
 /// A further replica of one of the busiest rank's experts on another rank.
 void LayerSearch::considerFurtherReplica(std::size_t busiest, ExpertId expert, std::size_t rank)
 {
-    if (holds(rank, expert) || mean_[rank] >= mean_[busiest] || !hasRoom(rank, expert))
+    if (holds(rank, expert) || mean_[rank] >= mean_[busiest] || !hasCapacity(rank, expert))
         return;
     if (map_.ranks[rank].size() < group_.ranks[rank].slots)
         consider(rank, {rank, noSlot, expert, 0, noSlot, 1, replaceChange(rank, noSlot, expert)});
@@ -204,14 +204,14 @@
 void LayerSearch::considerExchange(std::size_t busiest, std::size_t slot, std::size_t rank)
 {
     const ExpertId given = map_.ranks[busiest][slot];
-    if (holds(rank, given) || mean_[rank] >= mean_[busiest] || !hasRoom(rank, given))
+    if (holds(rank, given) || mean_[rank] >= mean_[busiest] || !hasCapacity(rank, given))
         return;
     std::size_t lightest = noSlot;
     double least = 0;
     for (std::size_t other = 0; other < map_.ranks[rank].size(); ++other) {
         const ExpertId taken = map_.ranks[rank][other];
         const double share = loads_[taken] / static_cast<double>(holders_[taken].size());
-        if (holds(busiest, taken) || !hasRoom(busiest, taken))
+        if (holds(busiest, taken) || !hasCapacity(busiest, taken))
             continue;
         if (lightest != noSlot && share >= least)
             continue;
@@ -230,7 +230,7 @@
     if (holders_[map_.ranks[busiest][slot]].size() < 2)
         return;
     for (ExpertId expert = 0; expert < loads_.size(); ++expert) {
-        if (holds(busiest, expert) || !hasRoom(busiest, expert))
+        if (holds(busiest, expert) || !hasCapacity(busiest, expert))
             continue;
         const double change = replaceChange(busiest, slot, expert);
         consider(busiest, {busiest, slot, expert, 0, noSlot, 1, change});
@@ -282,13 +282,13 @@
     } else {
         ExpertId &held = map_.ranks[rank][slot];
         held_[index(rank, held)] = 0;
-        loaded_[rank] -= isNew(rank, held) ? 1 : 0;
+        copied_[rank] -= isNew(rank, held) ? 1 : 0;
         std::vector<std::size_t> &former = holders_[held];
         former.erase(std::find(former.begin(), former.end(), rank));
         held = expert;
     }
     held_[index(rank, expert)] = 1;
-    loaded_[rank] += isNew(rank, expert) ? 1 : 0;
+    copied_[rank] += isNew(rank, expert) ? 1 : 0;
     holders_[expert].push_back(rank);
 }
 
--- a/Source/Version/LayerSearch.h
+++ b/Source/Version/LayerSearch.h
@@ -34,8 +34,8 @@
 class LayerSearch
 {
 public:
-    /// @param present The map in force, which the moves are counted from.
-    LayerSearch(const RankGroup &group, const LayerMap &present, const LayerMap &start,
+    /// @param current The map in force, which the moves are counted from.
+    LayerSearch(const RankGroup &group, const LayerMap &current, const LayerMap &start,
                 const SearchProblem &problem, const SearchLimits &limits, SearchBudget &budget);
 
     /// Expected skew of the map as it stands.
@@ -59,7 +59,7 @@
     bool holds(std::size_t rank, ExpertId expert) const { return held_[index(rank, expert)]; }
     bool isNew(std::size_t rank, ExpertId expert) const
     {
-        return presentHeld_[index(rank, expert)] == 0;
+        return currentHeld_[index(rank, expert)] == 0;
     }
     std::size_t index(std::size_t rank, ExpertId expert) const
     {
@@ -69,7 +69,7 @@
     void setUpRanks();
     void setUpSum();
     void chooseSharpness();
-    bool hasRoom(std::size_t rank, ExpertId expert) const;
+    bool hasCapacity(std::size_t rank, ExpertId expert) const;
     void touch(std::size_t rank, double load, double square);
     void touchHolders(ExpertId expert, std::size_t from, std::size_t to);
     double touchedChange();
@@ -93,8 +93,8 @@
     std::vector<char> held_;
     /// What each rank holds by the map in force, and how many experts are new to it by now. Room
     /// for copies is asked for at every step that is looked at.
-    std::vector<char> presentHeld_;
-    std::vector<std::uint32_t> loaded_;
+    std::vector<char> currentHeld_;
+    std::vector<std::uint32_t> copied_;
     std::vector<std::vector<std::size_t>> holders_;
     std::vector<double> mean_;
     std::vector<double> variance_;
--- a/Source/Version/Placement.cpp
+++ b/Source/Version/Placement.cpp
@@ -6,8 +6,8 @@
 #include <limits>
 #include <utility>
 
+#include "Version/PlacementCostAware.h"
 #include "Version/PlacementGreedy.h"
-#include "Version/PlacementWisteria.h"
 
 namespace wisteria {
 
@@ -18,7 +18,7 @@
     {"static", PlacementPolicy::Static},
     {"greedy", PlacementPolicy::Greedy},
     {"periodic", PlacementPolicy::Periodic},
-    {"wisteria", PlacementPolicy::Wisteria},
+    {"wisteria", PlacementPolicy::CostAware},
 }};
 
 LayerDecision stay(std::uint32_t layer, StayReason reason)
@@ -45,14 +45,14 @@
 
 /// Replicas that each rank can stage beside all that it holds; empty when no rank's memory is
 /// bounded.
-std::vector<std::uint32_t> stagingRoomOf(const RankGroup &group, const PlacementState &state)
+std::vector<std::uint32_t> stagingCapacityOf(const RankGroup &group, const PlacementState &state)
 {
     const bool bounded = std::any_of(group.ranks.begin(), group.ranks.end(),
                                      [](const RankCapacity &rank) { return rank.memoryBytes > 0; });
     if (!bounded || group.expertBytes == 0)
         return {};
-    std::vector<std::uint32_t> room(group.ranks.size());
-    for (std::size_t rank = 0; rank < room.size(); ++rank) {
+    std::vector<std::uint32_t> capacity(group.ranks.size());
+    for (std::size_t rank = 0; rank < capacity.size(); ++rank) {
         std::uint64_t held = 0;
         for (const LayerPlacement &layer : state.layers)
             held += layer.map.ranks[rank].size();
@@ -60,9 +60,9 @@
         const std::uint64_t free = fitting > held ? fitting - held : 0;
         const bool unbounded = group.ranks[rank].memoryBytes == 0;
         constexpr std::uint64_t most = std::numeric_limits<std::uint32_t>::max();
-        room[rank] = static_cast<std::uint32_t>(unbounded ? most : std::min(free, most));
+        capacity[rank] = static_cast<std::uint32_t>(unbounded ? most : std::min(free, most));
     }
-    return room;
+    return capacity;
 }
 
 /// What decides a layer under the policies that look at one layer alone.
@@ -79,15 +79,15 @@
 PlacementDecision decideLayers(PlacementPolicy policy, const RankGroup &group,
                                const PlacementState &state, bool periodicDue)
 {
-    std::vector<std::uint32_t> stagingRoom = stagingRoomOf(group, state);
-    if (policy == PlacementPolicy::Wisteria)
-        return decideWisteria(group, state, std::move(stagingRoom));
+    std::vector<std::uint32_t> stagingCapacity = stagingCapacityOf(group, state);
+    if (policy == PlacementPolicy::CostAware)
+        return decideCostAware(group, state, std::move(stagingCapacity));
     PlacementDecision decision;
     for (std::uint32_t layer = 0; layer < state.layers.size(); ++layer) {
         const LayerPlacement &placement = state.layers[layer];
         LayerDecision next = decideLayer(policy, group, placement, layer, periodicDue);
-        if (next.next && !reserveStagingRoom(stagingRoom, placement.map, *next.next))
-            next = stay(layer, StayReason::NoStagingRoom);
+        if (next.next && !reserveStagingCapacity(stagingCapacity, placement.map, *next.next))
+            next = stay(layer, StayReason::NoStagingCapacity);
         decision.layers.push_back(std::move(next));
     }
     return decision;
@@ -140,7 +140,7 @@
         return "the gain can't be told from noise";
     case StayReason::NoPayback:
         return "no move would pay back before the loads have drifted on";
-    case StayReason::NoStagingRoom:
+    case StayReason::NoStagingCapacity:
         return "a rank lacks the memory to stage new weights beside the old";
     case StayReason::SwitchPending:
         return "an earlier switch is still under way";
--- a/Source/Version/Placement.h
+++ b/Source/Version/Placement.h
@@ -17,7 +17,7 @@
     Static, ///< Never moves.
     Greedy, ///< From scratch at every report, as if moves cost nothing.
     Periodic, ///< As greedy, every ten minutes.
-    Wisteria, ///< Moves what pays back within the time that the drift leaves.
+    CostAware, ///< Moves what pays back within the time that the drift leaves.
 };
 
 /// The policy of that name, in lower case.
@@ -34,7 +34,7 @@
     TooFewReports, ///< The estimate is still too uncertain for a first move.
     GainWithinNoise, ///< What could be gained can't be told from noise.
     NoPayback, ///< The moves would cost more than they gain before the loads have drifted on.
-    NoStagingRoom, ///< A rank lacks the memory to stage the new weights beside the old.
+    NoStagingCapacity, ///< A rank lacks the memory to stage the new weights beside the old.
     SwitchPending, ///< A switch to an earlier decision's map is still under way.
 };
 
@@ -60,7 +60,7 @@
     std::optional<LayerMap> next;
     StayReason stay = StayReason::None;
     /// Expected skew of the present and of the new map; only the wisteria policy fills them in.
-    double presentSkew = 0;
+    double currentSkew = 0;
     double nextSkew = 0;
     /// Replicas that have to be loaded.
     std::uint32_t moves = 0;
--- a/Source/Version/PlacementWisteria.cpp
+++ b/Source/Version/PlacementCostAware.cpp
@@ -1,4 +1,4 @@
-#include "Version/PlacementWisteria.h"
+#include "Version/PlacementCostAware.h"
 
 #include <algorithm>
 #include <array>
@@ -46,7 +46,7 @@
     std::uint32_t layer = 0;
     LoadForecast forecast;
     SearchProblem problem;
-    double presentSkew = 1;
+    double currentSkew = 1;
     /// Expected skew of a map made from scratch: about what a search can reach.
     double scratchSkew = 1;
     /// Gain that the moves must reach together.
@@ -149,12 +149,12 @@
         return outlook;
     outlook.forecast = forecastLoads(estimate);
     outlook.problem = {outlook.forecast.shares, outlook.forecast.noise};
-    outlook.presentSkew = expectedSkew(group, placement.map, outlook.problem);
+    outlook.currentSkew = expectedSkew(group, placement.map, outlook.problem);
     outlook.scratchSkew =
         expectedSkew(group, greedyLayerMap(group, outlook.problem.loads), outlook.problem);
     const bool drifted = hasDrifted(group, placement.basis, outlook.forecast);
     outlook.neededGain = neededGain(group, placement, outlook.forecast, drifted);
-    if (outlook.presentSkew - outlook.scratchSkew < outlook.neededGain)
+    if (outlook.currentSkew - outlook.scratchSkew < outlook.neededGain)
         outlook.stay = drifted ? StayReason::GainWithinNoise : StayReason::NoDrift;
     return outlook;
 }
@@ -162,25 +162,25 @@
 /// Improves the present map step by step. Where that gets stuck well above what a map from scratch
 /// would reach, begins again from maps that only keep the experts in place that fit. Such maps load
 /// too much at once for ranks that have little room to stage.
-SearchResult searchLayer(const RankGroup &group, const LayerMap &present,
+SearchResult searchLayer(const RankGroup &group, const LayerMap &current,
                          const LayerOutlook &outlook, const SearchLimits &limits,
                          SearchBudget &budget)
 {
     SearchResult best;
-    best.map = present;
-    best.presentSkew = outlook.presentSkew;
-    best.foundSkew = outlook.presentSkew;
-    const bool boundedRoom = !limits.stagingRoom.empty();
-    if (boundedRoom || outlook.presentSkew < outlook.scratchSkew + hopelessSkew)
-        best = improveLayerMap(group, present, present, outlook.problem, limits, budget);
-    if (boundedRoom || best.foundSkew < outlook.scratchSkew + restartSkew)
+    best.map = current;
+    best.currentSkew = outlook.currentSkew;
+    best.foundSkew = outlook.currentSkew;
+    const bool boundedCapacity = !limits.stagingCapacity.empty();
+    if (boundedCapacity || outlook.currentSkew < outlook.scratchSkew + hopelessSkew)
+        best = improveLayerMap(group, current, current, outlook.problem, limits, budget);
+    if (boundedCapacity || best.foundSkew < outlook.scratchSkew + restartSkew)
         return best;
     for (const double ceiling : restartCeilings) {
         if (budget.terms == 0 && best.moves > 0)
             break;
-        const LayerMap start = stickyLayerMap(group, outlook.problem.loads, present, ceiling);
+        const LayerMap start = stickyLayerMap(group, outlook.problem.loads, current, ceiling);
         SearchResult found =
-            improveLayerMap(group, present, start, outlook.problem, limits, budget);
+            improveLayerMap(group, current, start, outlook.problem, limits, budget);
         const double furtherCost = limits.minGainPerMove * found.moves;
         if (found.foundSkew + furtherCost < best.foundSkew + limits.minGainPerMove * best.moves)
             best = std::move(found);
@@ -189,7 +189,7 @@
 }
 
 LayerDecision decideLayer(const RankGroup &group, const LayerPlacement &placement,
-                          const LayerOutlook &outlook, std::vector<std::uint32_t> &stagingRoom,
+                          const LayerOutlook &outlook, std::vector<std::uint32_t> &stagingCapacity,
                           SearchBudget &budget)
 {
     LayerDecision decision;
@@ -200,18 +200,18 @@
     SearchLimits limits;
     limits.maxMoves = slotsOf(group);
     limits.minGainPerMove = paybackSkew(group, outlook.forecast);
-    limits.stagingRoom = stagingRoom;
+    limits.stagingCapacity = stagingCapacity;
     SearchResult found = searchLayer(group, placement.map, outlook, limits, budget);
     if (found.moves == 0)
         decision.stay = StayReason::NoPayback;
-    else if (found.presentSkew - found.foundSkew < outlook.neededGain)
+    else if (found.currentSkew - found.foundSkew < outlook.neededGain)
         decision.stay = StayReason::GainWithinNoise;
-    else if (!reserveStagingRoom(stagingRoom, placement.map, found.map))
-        decision.stay = StayReason::NoStagingRoom;
+    else if (!reserveStagingCapacity(stagingCapacity, placement.map, found.map))
+        decision.stay = StayReason::NoStagingCapacity;
     if (decision.stay != StayReason::None)
         return decision;
     decision.next = std::move(found.map);
-    decision.presentSkew = found.presentSkew;
+    decision.currentSkew = found.currentSkew;
     decision.nextSkew = found.foundSkew;
     decision.moves = found.moves;
     decision.basis = {outlook.forecast.shares, outlook.forecast.uncertainty,
@@ -221,22 +221,22 @@
 
 } // namespace
 
-PlacementDecision decideWisteria(const RankGroup &group, const PlacementState &state,
-                                 std::vector<std::uint32_t> stagingRoom)
+PlacementDecision decideCostAware(const RankGroup &group, const PlacementState &state,
+                                  std::vector<std::uint32_t> stagingCapacity)
 {
     std::vector<LayerOutlook> outlooks;
     for (std::uint32_t layer = 0; layer < state.layers.size(); ++layer)
         outlooks.push_back(assessLayer(group, state.layers[layer], layer));
     std::stable_sort(outlooks.begin(), outlooks.end(),
                      [](const LayerOutlook &a, const LayerOutlook &b) {
-                         return a.presentSkew - a.scratchSkew > b.presentSkew - b.scratchSkew;
+                         return a.currentSkew - a.scratchSkew > b.currentSkew - b.scratchSkew;
                      });
     SearchBudget budget{decisionTerms};
     PlacementDecision decision;
     decision.layers.resize(state.layers.size());
     for (const LayerOutlook &outlook : outlooks) {
         decision.layers[outlook.layer] =
-            decideLayer(group, state.layers[outlook.layer], outlook, stagingRoom, budget);
+            decideLayer(group, state.layers[outlook.layer], outlook, stagingCapacity, budget);
     }
     return decision;
 }
--- a/Source/Version/PlacementGreedy.cpp
+++ b/Source/Version/PlacementGreedy.cpp
@@ -126,12 +126,12 @@
 }
 
 LayerMap stickyLayerMap(const RankGroup &group, const std::vector<double> &loads,
-                        const LayerMap &present, double ceiling)
+                        const LayerMap &current, double ceiling)
 {
     const double most = ceiling * balancedTime(group, loads);
     Packing packing(group, loads);
     for (const ExpertId expert : packing.replicasBySize()) {
-        auto rank = packing.leastBusyRank(expert, &present);
+        auto rank = packing.leastBusyRank(expert, &current);
         if (!rank || packing.timeWith(*rank, expert) > most)
             rank = packing.leastBusyRank(expert, nullptr);
         if (rank)
--- a/Source/Version/PlacementGreedy.h
+++ b/Source/Version/PlacementGreedy.h
@@ -14,6 +14,6 @@
 /// As greedyLayerMap(), but a replica goes to a rank that holds its expert already, as long as that
 /// rank's time stays within `ceiling`, relative to a balanced group's time.
 LayerMap stickyLayerMap(const RankGroup &group, const std::vector<double> &loads,
-                        const LayerMap &present, double ceiling);
+                        const LayerMap &current, double ceiling);
 
 } // namespace wisteria
--- a/Source/Version/PlacementSearch.cpp
+++ b/Source/Version/PlacementSearch.cpp
@@ -77,16 +77,16 @@
     return LayerSearch(group, map, map, problem, limits, budget).skew();
 }
 
-SearchResult improveLayerMap(const RankGroup &group, const LayerMap &present, const LayerMap &start,
+SearchResult improveLayerMap(const RankGroup &group, const LayerMap &current, const LayerMap &start,
                              const SearchProblem &problem, const SearchLimits &limits,
                              SearchBudget &budget)
 {
-    LayerSearch search(group, present, start, problem, limits, budget);
+    LayerSearch search(group, current, start, problem, limits, budget);
     SearchResult result;
     result.map = start;
     result.foundSkew = search.skew();
-    result.presentSkew =
-        start == present ? result.foundSkew : expectedSkew(group, present, problem);
+    result.currentSkew =
+        start == current ? result.foundSkew : expectedSkew(group, current, problem);
     // Every plan lowers the skew, so the search ends; the bound keeps its time in hand as well.
     for (std::uint32_t round = 0; round < limits.maxMoves && budget.terms > 0; ++round) {
         const StepPlan plan = nextSteps(search, limits);
@@ -94,12 +94,12 @@
             break;
         for (const SearchStep &step : plan.steps)
             search.take(step);
-        if (countMoves(present, search.map()) > limits.maxMoves)
+        if (countMoves(current, search.map()) > limits.maxMoves)
             break;
         result.map = search.map();
         result.foundSkew = search.skew();
     }
-    result.moves = countMoves(present, result.map);
+    result.moves = countMoves(current, result.map);
     return result;
 }
 
--- a/Source/Version/PlacementSearch.h
+++ b/Source/Version/PlacementSearch.h
@@ -25,7 +25,7 @@
     /// Expected skew that each loaded replica must gain at least.
     double minGainPerMove = 0;
     /// Replicas that each rank has room to stage beside those in use; empty when unbounded.
-    std::vector<std::uint32_t> stagingRoom;
+    std::vector<std::uint32_t> stagingCapacity;
     /// Ranks, the least busy first, that a step may bring in besides the busiest; 0 for all.
     std::uint32_t partners = 0;
 };
@@ -43,7 +43,7 @@
 {
     LayerMap map;
     /// Expected skew of the present map and of the one found.
-    double presentSkew = 1;
+    double currentSkew = 1;
     double foundSkew = 1;
     std::uint32_t moves = 0;
 };
@@ -60,7 +60,7 @@
 /// replica, or by exchanging two experts. Deterministic: ties go to the first found.
 /// Any map on the way is a valid one, so the search may end early for want of budget.
 /// @param start The map to improve: the present one, or another for the same group.
-SearchResult improveLayerMap(const RankGroup &group, const LayerMap &present, const LayerMap &start,
+SearchResult improveLayerMap(const RankGroup &group, const LayerMap &current, const LayerMap &start,
                              const SearchProblem &problem, const SearchLimits &limits,
                              SearchBudget &budget);
 
--- a/Source/Version/PlacementStaging.cpp
+++ b/Source/Version/PlacementStaging.cpp
@@ -27,12 +27,12 @@
     return boost::outcome_v2::success();
 }
 
-std::vector<Replica> replicasToLoad(const ExpertMap &present, const ExpertMap &next,
+std::vector<Replica> replicasToCopy(const ExpertMap &current, const ExpertMap &next,
                                     std::size_t rank)
 {
     std::vector<Replica> replicas;
     for (std::uint32_t layer = 0; layer < next.layers.size(); ++layer) {
-        const std::vector<ExpertId> &held = present.layers[layer].ranks[rank];
+        const std::vector<ExpertId> &held = current.layers[layer].ranks[rank];
         for (const ExpertId expert : missingExperts(held, next.layers[layer].ranks[rank]))
             replicas.push_back({layer, expert});
     }
@@ -41,11 +41,11 @@
 
 /// Without the room, the rank would run out of memory in the middle of the staging, while the old
 /// replicas still serve; refusing beforehand leaves the group as it is.
-Result<void> checkRoom(const RankGroup &group, const ExpertMap &present, std::size_t rank,
-                       std::size_t staged)
+Result<void> checkCapacity(const RankGroup &group, const ExpertMap &current, std::size_t rank,
+                           std::size_t staged)
 {
     std::uint64_t held = staged;
-    for (const LayerMap &layer : present.layers)
+    for (const LayerMap &layer : current.layers)
         held += layer.ranks[rank].size();
     const std::uint64_t memory = group.ranks[rank].memoryBytes;
     if (memory == 0 || held * group.expertBytes <= memory)
@@ -67,17 +67,17 @@
 
 } // namespace
 
-Result<StagingPlan> planStaging(const RankGroup &group, const ExpertMap &present,
+Result<StagingPlan> planStaging(const RankGroup &group, const ExpertMap &current,
                                 const ExpertMap &next)
 {
     BOOST_OUTCOME_TRYV(checkRankGroup(group));
-    BOOST_OUTCOME_TRYV(checkMap(group, present));
+    BOOST_OUTCOME_TRYV(checkMap(group, current));
     BOOST_OUTCOME_TRYV(checkMap(group, next));
     std::vector<std::vector<Replica>> perRank;
     std::size_t most = 0;
     for (std::size_t rank = 0; rank < group.ranks.size(); ++rank) {
-        perRank.push_back(replicasToLoad(present, next, rank));
-        BOOST_OUTCOME_TRYV(checkRoom(group, present, rank, perRank.back().size()));
+        perRank.push_back(replicasToCopy(current, next, rank));
+        BOOST_OUTCOME_TRYV(checkCapacity(group, current, rank, perRank.back().size()));
         most = std::max(most, perRank.back().size());
     }
     StagingPlan plan;
--- a/Source/Version/PlacementStaging.h
+++ b/Source/Version/PlacementStaging.h
@@ -40,7 +40,7 @@
 /// take the whole rate for long.
 /// @return BadInput when a map does not fit the group, or when a rank lacks the memory to hold the
 /// new replicas beside all that it holds now.
-Result<StagingPlan> planStaging(const RankGroup &group, const ExpertMap &present,
+Result<StagingPlan> planStaging(const RankGroup &group, const ExpertMap &current,
                                 const ExpertMap &next);
 
 } // namespace wisteria
--- a/Source/Version/RankReport.h
+++ b/Source/Version/RankReport.h
@@ -25,23 +25,23 @@
     std::uint32_t groupSize = 0;
     bool groupOpen = false;
     /// The last pass that was begun.
-    std::uint64_t step = 0;
+    std::uint64_t pass = 0;
     /// Version of the map in use.
     std::uint64_t map = 0;
     /// Version whose experts are all loaded; 0 for none.
     std::uint64_t prepared = 0;
     /// Version and pass that a switch is armed for; 0 for none.
     std::uint64_t armed = 0;
-    std::uint64_t armedStep = 0;
+    std::uint64_t armedPass = 0;
     /// Pass that the group does not begin until it is told to; nothing when not held.
-    std::optional<std::uint64_t> heldStep{};
+    std::optional<std::uint64_t> heldPass{};
 };
 
 /// How often the requests of one rank chose each expert since the rank started.
 struct ExpertCounts
 {
     std::uint64_t epoch = 0;
-    std::uint64_t step = 0;
+    std::uint64_t pass = 0;
     /// One set of experts after the other.
     std::vector<std::uint64_t> counts;
 };
@@ -50,7 +50,7 @@
 using RankMap = std::vector<std::vector<std::vector<std::uint32_t>>>;
 
 /// What an order makes a rank do.
-enum class RankOrderKind { Prepare, Arm, Disarm, Hold, Go };
+enum class RankOrderKind { Prepare, Arm, Disarm, Hold, Release };
 
 /// The order's name, for logs and metrics.
 inline const char *orderName(RankOrderKind kind)
@@ -64,7 +64,7 @@
         return "disarm";
     case RankOrderKind::Hold:
         return "hold";
-    case RankOrderKind::Go:
+    case RankOrderKind::Release:
         return "go";
     }
     return "";
@@ -77,7 +77,7 @@
     /// Map version; for all but Hold and Go.
     std::uint64_t version = 0;
     /// Pass; for Arm, Hold and Go.
-    std::uint64_t step = 0;
+    std::uint64_t pass = 0;
     /// For Prepare.
     RankMap map{};
 };
--- a/Source/Version/RankSwitch.cpp
+++ b/Source/Version/RankSwitch.cpp
@@ -4,8 +4,8 @@
 #include <utility>
 
 #include "Version/GroupDemand.h"
-#include "Version/GroupViews.h"
-#include "Version/HeldGroup.h"
+#include "Version/GroupQueries.h"
+#include "Version/HoldRecovery.h"
 #include "Version/SwitchOrders.h"
 
 namespace wisteria {
@@ -13,60 +13,60 @@
 namespace {
 
 /// Notes the pass that the group is to be held at.
-void aimAt(GroupSwitch &group, std::uint64_t step)
+void aimAt(GroupSwitch &group, std::uint64_t pass)
 {
-    group.step = std::max(step, group.lastStepAsked + 1);
-    group.lastStepAsked = group.step;
-    group.stepsAsked.push_back(group.step);
-    group.asked.clear();
+    group.pass = std::max(pass, group.lastHeldPass + 1);
+    group.lastHeldPass = group.pass;
+    group.heldPasses.push_back(group.pass);
+    group.pendingOrders.clear();
 }
 
 void advanceIdle(GroupSwitch &group, const ExpertProfile &profile, const PlacementBounds &bounds,
-                 const SwitchTiming &timing, const LeaderSeat &seat, SwitchStep &step,
+                 const SwitchTiming &timing, const LeaderIdentity &leader, SwitchUpdate &update,
                  TimePoint now)
 {
     if (heldByOther(group, timing, now)) {
-        takeOver(group, step, now);
+        takeOver(group, update, now);
         return;
     }
-    if (!allKnown(group, timing, now))
+    if (!allRanksCurrent(group, timing, now))
         return;
     if (anyArmed(group) || now - group.lastSwitchAt < timing.betweenSwitches)
         return;
     if (!group.demandIsNew)
         return;
     group.demandIsNew = false;
-    const RankMap present = presentMap(group, profile);
-    if (present.empty())
+    const RankMap current = currentMap(group, profile);
+    if (current.empty())
         return;
-    const double skew = demandSkew(group.demand, present, slowdownsOf(group));
-    const bool seenBefore = skew < group.fruitlessSkew + timing.worthAnotherLook
-        && now - group.fruitlessAt < timing.lookAgain;
+    const double skew = demandSkew(group.demand, current, slowdownsOf(group));
+    const bool seenBefore = skew < group.failedSearchSkew + timing.minSkewIncrease
+        && now - group.failedSearchAt < timing.searchRetryInterval;
     if (seenBefore)
         return;
-    auto proposal = proposeMap(profile, group.demand, present, slowdownsOf(group), bounds);
+    auto proposal = proposeMap(profile, group.demand, current, slowdownsOf(group), bounds);
     if (!proposal) {
-        group.fruitlessSkew = skew;
-        group.fruitlessAt = now;
+        group.failedSearchSkew = skew;
+        group.failedSearchAt = now;
         return;
     }
-    group.fruitlessSkew = 0;
+    group.failedSearchSkew = 0;
     group.proposal = std::move(*proposal);
-    setBase(group, profile, present);
+    setBase(group, profile, current);
     group.map = group.proposal.map;
-    group.version = newVersion(group, seat);
-    step.note = SwitchNote::Preparing;
-    enter(group, SwitchPhase::Preparing, now);
+    group.version = newVersion(group, leader);
+    update.event = SwitchEvent::Preparing;
+    enterPhase(group, SwitchPhase::Preparing, now);
 }
 
-void advancePreparing(GroupSwitch &group, const SwitchTiming &timing, const LeaderSeat &seat,
-                      SwitchStep &step, TimePoint now)
+void advancePreparing(GroupSwitch &group, const SwitchTiming &timing, const LeaderIdentity &leader,
+                      SwitchUpdate &update, TimePoint now)
 {
     // A rank that has had a higher version never takes this one: an order that was believed lost
     // was carried out late, or another leader's clock is ahead.
     if (group.highestVersion > group.version) {
-        step.note = SwitchNote::Overtaken;
-        enter(group, SwitchPhase::Idle, now);
+        update.event = SwitchEvent::Superseded;
+        enterPhase(group, SwitchPhase::Idle, now);
         return;
     }
     bool all = true;
@@ -74,102 +74,107 @@
         if (hasVersion(view.status.report, group.version))
             continue;
         all = false;
-        ask(group, step, timing, rank, {.kind = RankOrderKind::Prepare, .version = group.version},
-            now);
+        requestOrder(group, update, timing, rank,
+                     {.kind = RankOrderKind::Prepare, .version = group.version}, now);
     }
     if (all) {
-        group.holder = holderOf(seat.rank, groupSizeOf(group));
-        group.stepsAsked.clear();
-        enter(group, SwitchPhase::Holding, now);
-        aimAt(group, furthestStep(group) + timing.passesAhead);
+        group.holder = holderOf(leader.rank, groupSizeOf(group));
+        group.heldPasses.clear();
+        enterPhase(group, SwitchPhase::Holding, now);
+        aimAt(group, latestPass(group) + timing.passesAhead);
         return;
     }
     if (now - group.phaseSince > timing.prepareTimeout) {
-        step.note = SwitchNote::GaveUpPreparing;
+        update.event = SwitchEvent::GaveUpPreparing;
         group.lastSwitchAt = now;
-        enter(group, SwitchPhase::Idle, now);
+        enterPhase(group, SwitchPhase::Idle, now);
     }
 }
 
-void advanceHolding(GroupSwitch &group, const SwitchTiming &timing, SwitchStep &step, TimePoint now)
+void advanceHolding(GroupSwitch &group, const SwitchTiming &timing, SwitchUpdate &update,
+                    TimePoint now)
 {
     const RankReport &report = group.ranks.at(group.holder).status.report;
-    if (report.heldStep && isOwnHold(group, {group.holder, *report.heldStep})) {
-        group.step = *report.heldStep;
+    if (report.heldPass && isOwnHold(group, {group.holder, *report.heldPass})) {
+        group.pass = *report.heldPass;
         group.heldSince = now;
-        enter(group, SwitchPhase::Arming, now);
+        enterPhase(group, SwitchPhase::Arming, now);
         return;
     }
     if (now - group.phaseSince > timing.holdTimeout) {
-        step.note = SwitchNote::GaveUpHolding;
+        update.event = SwitchEvent::GaveUpHolding;
         group.lastSwitchAt = now;
-        enter(group, SwitchPhase::Idle, now);
+        enterPhase(group, SwitchPhase::Idle, now);
         return;
     }
     // A pass that has begun can't be held any more; nothing is armed yet, so another is tried.
-    if (furthestStep(group) + 1 >= group.step && !group.asked.empty())
-        aimAt(group, furthestStep(group) + timing.passesAhead + 1);
-    ask(group, step, timing, group.holder, {.kind = RankOrderKind::Hold, .step = group.step}, now);
+    if (latestPass(group) + 1 >= group.pass && !group.pendingOrders.empty())
+        aimAt(group, latestPass(group) + timing.passesAhead + 1);
+    requestOrder(group, update, timing, group.holder,
+                 {.kind = RankOrderKind::Hold, .pass = group.pass}, now);
 }
 
-void advanceArming(GroupSwitch &group, const SwitchTiming &timing, SwitchStep &step, TimePoint now)
+void advanceArming(GroupSwitch &group, const SwitchTiming &timing, SwitchUpdate &update,
+                   TimePoint now)
 {
     std::vector<std::uint32_t> unarmed;
     for (const auto &[rank, view] : group.ranks) {
         const RankReport &report = view.status.report;
-        if (!isArmed(report, group.version, group.step) && report.map != group.version)
+        if (!isArmed(report, group.version, group.pass) && report.map != group.version)
             unarmed.push_back(rank);
     }
     if (unarmed.empty()) {
-        enter(group, SwitchPhase::Releasing, now);
+        enterPhase(group, SwitchPhase::Releasing, now);
         return;
     }
     // The own rank comes last: what can't be seen of it after this VM froze, the others tell.
     if (unarmed.size() > 1)
         std::erase(unarmed, group.ownRank);
     for (const std::uint32_t rank : unarmed) {
-        ask(group, step, timing, rank,
-            {.kind = RankOrderKind::Arm, .version = group.version, .step = group.step}, now);
+        requestOrder(group, update, timing, rank,
+                     {.kind = RankOrderKind::Arm, .version = group.version, .pass = group.pass},
+                     now);
     }
     // The pass began without anybody armed: the group was not held any more when it was taken over.
-    const bool begun = furthestStep(group) >= group.step
+    const bool begun = latestPass(group) >= group.pass
         && std::none_of(group.ranks.begin(), group.ranks.end(), [&](const auto &entry) {
                            return entry.second.status.report.map == group.version;
                        });
     if (begun) {
-        step.note = SwitchNote::PassBegun;
-        enter(group, SwitchPhase::Idle, now);
+        update.event = SwitchEvent::PassBegun;
+        enterPhase(group, SwitchPhase::Idle, now);
         return;
     }
-    if (anyLacksForGood(group, group.version)) {
-        step.note = SwitchNote::VersionLost;
+    if (anyHasSuperseded(group, group.version)) {
+        update.event = SwitchEvent::VersionLost;
         group.version = 0;
-        enter(group, SwitchPhase::Unwinding, now);
+        enterPhase(group, SwitchPhase::Recovering, now);
     }
 }
 
 /// All ranks are armed for one version and pass, so every hold up to that pass may go.
-void advanceReleasing(GroupSwitch &group, const SwitchTiming &timing, SwitchStep &step,
+void advanceReleasing(GroupSwitch &group, const SwitchTiming &timing, SwitchUpdate &update,
                       TimePoint now)
 {
     bool held = false;
     for (const auto &[rank, view] : group.ranks) {
-        const auto &heldStep = view.status.report.heldStep;
+        const auto &heldPass = view.status.report.heldPass;
         // A later pass may be held by then: an order to hold that was believed lost can be carried
         // out after the switch. The group then finds itself held by nobody.
-        if (!heldStep || *heldStep > group.step)
+        if (!heldPass || *heldPass > group.pass)
             continue;
         held = true;
-        ask(group, step, timing, rank, {.kind = RankOrderKind::Go, .step = *heldStep}, now);
+        requestOrder(group, update, timing, rank,
+                     {.kind = RankOrderKind::Release, .pass = *heldPass}, now);
     }
     const bool done = std::all_of(group.ranks.begin(), group.ranks.end(), [&](const auto &entry) {
         return entry.second.status.report.map == group.version;
     });
     if (held || !done)
         return;
-    step.note = SwitchNote::InForce;
+    update.event = SwitchEvent::InForce;
     group.lastSwitchAt = now;
-    enter(group, SwitchPhase::Idle, now);
+    enterPhase(group, SwitchPhase::Idle, now);
 }
 
 /// Adds the experts that a status leaves out because the leader knows the map.
@@ -193,7 +198,7 @@
 
 } // namespace
 
-void takeStatus(GroupSwitch &group, RankStatus status, TimePoint now)
+void applyStatus(GroupSwitch &group, RankStatus status, TimePoint now)
 {
     const RankReport &report = status.report;
     if (report.epoch < group.epoch)
@@ -208,7 +213,7 @@
     constexpr milliseconds forgottenAfter{1000};
     if (known != group.ranks.end()
         && known->second.status.readAtMilliseconds > status.readAtMilliseconds
-        && now - known->second.at < forgottenAfter)
+        && now - known->second.receivedAt < forgottenAfter)
         return;
     group.highestVersion =
         std::max({group.highestVersion, report.map, report.prepared, report.armed});
@@ -217,11 +222,11 @@
     group.ranks[rank] = {std::move(status), now};
 }
 
-void forgetRanks(GroupSwitch &group)
+void resetRanks(GroupSwitch &group)
 {
     GroupSwitch kept{.group = group.group, .epoch = group.epoch};
     kept.highestVersion = group.highestVersion;
-    kept.lastStepAsked = group.lastStepAsked;
+    kept.lastHeldPass = group.lastHeldPass;
     group = std::move(kept);
 }
 
@@ -231,82 +236,82 @@
     if (found == group.ranks.end() || order.epoch != group.epoch)
         return;
     RankReport &report = found->second.status.report;
-    found->second.at = now;
+    found->second.receivedAt = now;
     switch (order.kind) {
     case RankOrderKind::Prepare:
         // The copies are not complete yet; only the rank's report says so.
         return;
     case RankOrderKind::Arm:
         report.armed = order.version;
-        report.armedStep = order.step;
+        report.armedPass = order.pass;
         return;
     case RankOrderKind::Disarm:
         report.armed = 0;
         return;
     case RankOrderKind::Hold:
-        report.heldStep = order.step;
+        report.heldPass = order.pass;
         return;
-    case RankOrderKind::Go:
-        report.heldStep.reset();
+    case RankOrderKind::Release:
+        report.heldPass.reset();
         return;
     }
 }
 
-SwitchStep advanceSwitch(GroupSwitch &group, const ExpertProfile &profile,
-                         const PlacementBounds &bounds, const SwitchTiming &timing,
-                         const LeaderSeat &seat, TimePoint now)
+SwitchUpdate advanceSwitch(GroupSwitch &group, const ExpertProfile &profile,
+                           const PlacementBounds &bounds, const SwitchTiming &timing,
+                           const LeaderIdentity &leader, TimePoint now)
 {
-    SwitchStep step;
+    SwitchUpdate update;
     closeOverdueWindow(group, profile, timing, now);
     // Somebody else's hold must not last: whoever set it may be gone.
-    group.ownRank = seat.rank;
+    group.ownRank = leader.rank;
     const bool unheldPhase =
         group.phase == SwitchPhase::Preparing || group.phase == SwitchPhase::Holding;
     if (unheldPhase && heldByOther(group, timing, now))
-        takeOver(group, step, now);
+        takeOver(group, update, now);
     switch (group.phase) {
     case SwitchPhase::Idle:
-        advanceIdle(group, profile, bounds, timing, seat, step, now);
+        advanceIdle(group, profile, bounds, timing, leader, update, now);
         break;
     case SwitchPhase::Preparing:
-        advancePreparing(group, timing, seat, step, now);
+        advancePreparing(group, timing, leader, update, now);
         break;
     case SwitchPhase::Holding:
-        advanceHolding(group, timing, step, now);
+        advanceHolding(group, timing, update, now);
         break;
     case SwitchPhase::Arming:
-        advanceArming(group, timing, step, now);
+        advanceArming(group, timing, update, now);
         break;
-    case SwitchPhase::Unwinding:
-        advanceUnwinding(group, profile, timing, seat, step, now);
+    case SwitchPhase::Recovering:
+        advanceRecovery(group, profile, timing, leader, update, now);
         break;
     case SwitchPhase::Releasing:
-        advanceReleasing(group, timing, step, now);
+        advanceReleasing(group, timing, update, now);
         break;
     }
-    return step;
+    return update;
 }
 
-const char *noteText(SwitchNote note)
+const char *eventText(SwitchEvent event)
 {
-    switch (note) {
-    case SwitchNote::Nothing:
+    switch (event) {
+    case SwitchEvent::Nothing:
         return "";
-    case SwitchNote::Preparing:
+    case SwitchEvent::Preparing:
         return "preparing";
-    case SwitchNote::GaveUpPreparing:
+    case SwitchEvent::GaveUpPreparing:
         return "gave up preparing";
-    case SwitchNote::GaveUpHolding:
+    case SwitchEvent::GaveUpHolding:
         return "gave up holding";
-    case SwitchNote::TookOver:
+    case SwitchEvent::TookOver:
         return "took over a held group";
-    case SwitchNote::Overtaken:
+    case SwitchEvent::Superseded:
         return "overtaken by a higher version";
-    case SwitchNote::PassBegun:
+    case SwitchEvent::PassBegun:
         return "the pass has begun";
-    case SwitchNote::VersionLost:
+    case SwitchEvent::VersionLost:
         return "a rank lost the version";
-    case SwitchNote::InForce:
+    case SwitchEvent::InForce:
         return "in force";
     }
     return "";
@@ -323,7 +328,7 @@
         return "holding";
     case SwitchPhase::Arming:
         return "arming";
-    case SwitchPhase::Unwinding:
+    case SwitchPhase::Recovering:
         return "unwinding";
     case SwitchPhase::Releasing:
         return "releasing";
--- a/Source/Version/RankSwitch.h
+++ b/Source/Version/RankSwitch.h
@@ -19,7 +19,7 @@
 {
     RankStatus status;
     /// When the status arrived.
-    TimePoint at;
+    TimePoint receivedAt;
 };
 
 /// Times and bounds of the leader's work. Tests shorten them.
@@ -50,7 +50,7 @@
     std::uint64_t passesAhead = 2;
     /// How long orders to arm that are still on their way are waited for before a held group is
     /// brought to another version: mostly they arrive, and nothing has to be undone.
-    milliseconds settle{200};
+    milliseconds settleTime{200};
     /// Pause between two changes of the map.
     milliseconds betweenSwitches{100};
     /// Counts of all ranks that were asked for at the same time arrive within this time; later
@@ -59,8 +59,8 @@
     /// After a look that found nothing, another one waits until the skew has grown by so much, or
     /// for this long: looks at a large group's map would take up the share of a core that a sidecar
     /// has.
-    double worthAnotherLook = 0.1;
-    milliseconds lookAgain{1000};
+    double minSkewIncrease = 0.1;
+    milliseconds searchRetryInterval{1000};
 };
 
 /// Where a change of the map stands.
@@ -86,17 +86,17 @@
     Preparing, ///< The ranks copy the experts that are new to them.
     Holding, ///< One rank is told to hold the group at a pass.
     Arming, ///< Every rank is told to switch as that pass begins.
-    Unwinding, ///< The group is held, and is let go on its map once ranks lack all other versions.
+    Recovering, ///< The group is held, and is let go on its map once ranks lack all other versions.
     Releasing, ///< All are armed: the held rank is told to go on.
 };
 inline constexpr std::size_t switchPhases = 6;
 
 /// An order that a rank was asked for, and how often.
-struct AskedOrder
+struct PendingOrder
 {
     RankOrderKind kind = RankOrderKind::Prepare;
     std::uint64_t version = 0;
-    std::uint64_t step = 0;
+    std::uint64_t pass = 0;
     TimePoint at{};
     std::uint32_t times = 0;
 };
@@ -105,14 +105,14 @@
 struct ArmedSwitch
 {
     std::uint64_t version = 0;
-    std::uint64_t step = 0;
+    std::uint64_t pass = 0;
 };
 
 /// Versions of one tick: one for each rank beside which a leader may run. Larger than any group.
 inline constexpr std::uint64_t ranksPerVersionTick = 4096;
 
 /// Where a leader runs, and how it numbers versions.
-struct LeaderSeat
+struct LeaderIdentity
 {
     /// Rank beside the leader, which it orders fastest.
     std::uint32_t rank = 0;
@@ -122,12 +122,12 @@
 };
 
 /// A rank that holds the group, and the pass that it does not begin.
-struct Held
+struct GroupHold
 {
     std::uint32_t rank = 0;
-    std::uint64_t step = 0;
+    std::uint64_t pass = 0;
 
-    bool operator==(const Held &) const = default;
+    bool operator==(const GroupHold &) const = default;
 };
 
 /// All that the leader keeps of one group. A plain value.
@@ -145,23 +145,23 @@
     std::uint64_t windowPasses = 0;
     TimePoint windowSince{};
     /// Demand has moved: what was known is forgotten, and the next window is all that is known.
-    bool shiftSeen = false;
+    bool demandShifted = false;
     /// When that was last seen.
-    std::optional<TimePoint> shiftSeenAt{};
+    std::optional<TimePoint> demandShiftedAt{};
     SwitchPhase phase = SwitchPhase::Idle;
     TimePoint phaseSince{};
     /// Version that this leader made and brings into force; 0 while it has none.
     std::uint64_t version = 0;
-    std::uint64_t step = 0;
+    std::uint64_t pass = 0;
     /// Rank that holds, or is to hold, the group.
     std::uint32_t holder = 0;
     /// Passes that were to be held for the present version.
-    std::vector<std::uint64_t> stepsAsked{};
+    std::vector<std::uint64_t> heldPasses{};
     /// The last pass that this leader ever had held: each is used for one version only.
-    std::uint64_t lastStepAsked = 0;
+    std::uint64_t lastHeldPass = 0;
     /// Holds that were seen before the version was made which unwinds them. A rank that shows that
     /// version has refused all that those holds were for; of a later hold it says nothing.
-    std::vector<Held> holdsUnwound{};
+    std::vector<GroupHold> recoveredHolds{};
     RankMap map{};
     /// The map in force that `map` goes on from, and its version; empty when it may not be known to
     /// the sidecars.
@@ -170,13 +170,13 @@
     /// Highest version known of, in use or not.
     std::uint64_t highestVersion = 0;
     /// What was last asked of each rank in the present phase.
-    std::map<std::uint32_t, AskedOrder> asked{};
+    std::map<std::uint32_t, PendingOrder> pendingOrders{};
     TimePoint lastSwitchAt{};
     /// Demand has come in since the last look for a better map.
     bool demandIsNew = false;
     /// Skew at the last look that found no better map, and when that was; 0 for none.
-    double fruitlessSkew = 0;
-    TimePoint fruitlessAt{};
+    double failedSearchSkew = 0;
+    TimePoint failedSearchAt{};
     TimePoint heldSince{};
     /// For how long each phase of the present switch lasted, by phase.
     std::array<milliseconds, switchPhases> phaseTimes{};
@@ -197,42 +197,42 @@
 };
 
 /// What happened in a step of the leader's work, for logs and metrics.
-enum class SwitchNote {
+enum class SwitchEvent {
     Nothing,
     Preparing, ///< A better map was found, and its copies begin.
     GaveUpPreparing, ///< The copies took too long.
     GaveUpHolding, ///< The rank that was to hold the group did not.
     TookOver, ///< The group was held by somebody who is gone.
-    Overtaken, ///< A rank has had a higher version.
+    Superseded, ///< A rank has had a higher version.
     PassBegun, ///< The pass began before any rank was armed.
     VersionLost, ///< A rank no longer has the version that the others are armed for.
     InForce, ///< All ranks use the map.
 };
 
 /// The note in words.
-const char *noteText(SwitchNote note);
+const char *eventText(SwitchEvent event);
 
 /// What a step of the leader's work gave.
-struct SwitchStep
+struct SwitchUpdate
 {
     std::vector<SwitchAction> actions;
-    SwitchNote note = SwitchNote::Nothing;
+    SwitchEvent event = SwitchEvent::Nothing;
 };
 
 /// Takes in a rank's status. A new epoch begins anew.
-void takeStatus(GroupSwitch &group, RankStatus status, TimePoint now);
+void applyStatus(GroupSwitch &group, RankStatus status, TimePoint now);
 
 /// Forgets what was known of the ranks, and what was under way, when another sidecar leads. What
 /// this one used up stays: versions, and passes that it had held.
-void forgetRanks(GroupSwitch &group);
+void resetRanks(GroupSwitch &group);
 
 /// Notes that a rank has carried out an order that went straight to its engine.
 void noteOrderDone(GroupSwitch &group, std::uint32_t rank, const RankOrder &order, TimePoint now);
 
 /// Decides what to do next.
-SwitchStep advanceSwitch(GroupSwitch &group, const ExpertProfile &profile,
-                         const PlacementBounds &bounds, const SwitchTiming &timing,
-                         const LeaderSeat &seat, TimePoint now);
+SwitchUpdate advanceSwitch(GroupSwitch &group, const ExpertProfile &profile,
+                           const PlacementBounds &bounds, const SwitchTiming &timing,
+                           const LeaderIdentity &leader, TimePoint now);
 
 /// Whether the group is in the middle of a change, so that statuses are wanted often.
 inline bool switching(const GroupSwitch &group)
--- a/Source/Version/ServiceConfiguration.h
+++ b/Source/Version/ServiceConfiguration.h
@@ -75,7 +75,7 @@
     std::uint32_t expertsPerSet = 0;
     std::uint32_t expertsPerRank = 0;
     /// Experts of a set that one rank may load for one new map.
-    std::uint32_t loadsPerMap = 0;
+    std::uint32_t copiesPerMap = 0;
     double expertMegabytes = 0;
     double linkMegabitsPerSecond = 0;
     /// Share of the work for tokens that the experts do, 0 to 1.
--- a/Source/Version/PlacementBound.cpp
+++ b/Source/Version/SkewLowerBound.cpp
@@ -1,4 +1,4 @@
-#include "Version/PlacementBound.h"
+#include "Version/SkewLowerBound.h"
 
 #include <algorithm>
 #include <cmath>
--- a/Source/Version/SwitchOrders.cpp
+++ b/Source/Version/SwitchOrders.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "Version/GroupViews.h"
+#include "Version/GroupQueries.h"
 
 namespace wisteria {
 
@@ -21,80 +21,81 @@
 /// large group stands still for good. The map in force under another version, which a held group is
 /// brought to, is a message without changes.
 milliseconds pauseBefore(const GroupSwitch &group, const SwitchTiming &timing, const RankView &view,
-                         const RankOrder &order, std::uint32_t timesAsked)
+                         const RankOrder &order, std::uint32_t timesRequested)
 {
     constexpr std::uint32_t doublingsAtMost = 3;
     const bool prepares = order.kind == RankOrderKind::Prepare;
-    const bool small = group.phase == SwitchPhase::Unwinding && asChanges(group, view);
+    const bool small = group.phase == SwitchPhase::Recovering && asChanges(group, view);
     if (!prepares || small)
         return timing.resend;
     if (view.status.accepted == order.version)
         return timing.resendAcceptedMap;
-    return timing.resendMap * (1 << std::min(timesAsked - 1, doublingsAtMost));
+    return timing.resendMap * (1 << std::min(timesRequested - 1, doublingsAtMost));
 }
 
 /// Whether the sidecar beside the rank is silent while most others are heard.
 bool isSilentAlone(const GroupSwitch &group, const SwitchTiming &timing, const RankView &view,
                    TimePoint now)
 {
-    return now - view.at > timing.orderDirectlyAfter
-        && silentRanks(group, timing.orderDirectlyAfter, now) <= timing.orderDirectlyAtMost;
+    return now - view.receivedAt > timing.orderDirectlyAfter
+        && unresponsiveRanks(group, timing.orderDirectlyAfter, now) <= timing.orderDirectlyAtMost;
 }
 
 } // namespace
 
-void enter(GroupSwitch &group, SwitchPhase phase, TimePoint now)
+void enterPhase(GroupSwitch &group, SwitchPhase phase, TimePoint now)
 {
     if (phase == SwitchPhase::Preparing)
         group.phaseTimes = {};
     group.phaseTimes.at(static_cast<std::size_t>(group.phase)) += remaining(group.phaseSince, now);
     group.phase = phase;
     group.phaseSince = now;
-    group.asked.clear();
+    group.pendingOrders.clear();
 }
 
-std::uint64_t newVersion(GroupSwitch &group, const LeaderSeat &seat)
+std::uint64_t newVersion(GroupSwitch &group, const LeaderIdentity &leader)
 {
-    std::uint64_t version = seat.versionTick * ranksPerVersionTick + seat.rank;
+    std::uint64_t version = leader.versionTick * ranksPerVersionTick + leader.rank;
     if (version <= group.highestVersion) {
         const std::uint64_t next = group.highestVersion / ranksPerVersionTick + 1;
-        version = next * ranksPerVersionTick + seat.rank;
+        version = next * ranksPerVersionTick + leader.rank;
     }
     group.highestVersion = version;
     return version;
 }
 
-void ask(GroupSwitch &group, SwitchStep &step, const SwitchTiming &timing, std::uint32_t rank,
-         RankOrder order, TimePoint now)
+void requestOrder(GroupSwitch &group, SwitchUpdate &update, const SwitchTiming &timing,
+                  std::uint32_t rank, RankOrder order, TimePoint now)
 {
     const RankView &view = group.ranks.at(rank);
-    AskedOrder &asked = group.asked[rank];
-    const bool sameOrder =
-        asked.kind == order.kind && asked.version == order.version && asked.step == order.step;
+    PendingOrder &pending = group.pendingOrders[rank];
+    const bool sameOrder = pending.kind == order.kind && pending.version == order.version
+        && pending.pass == order.pass;
     if (!sameOrder)
-        asked = {.kind = order.kind, .version = order.version, .step = order.step};
-    if (asked.times > 0 && now - asked.at < pauseBefore(group, timing, view, order, asked.times))
+        pending = {.kind = order.kind, .version = order.version, .pass = order.pass};
+    if (pending.times > 0
+        && now - pending.at < pauseBefore(group, timing, view, order, pending.times))
         return;
-    asked.at = now;
-    ++asked.times;
+    pending.at = now;
+    ++pending.times;
     order.epoch = group.epoch;
-    const bool held = group.phase == SwitchPhase::Arming || group.phase == SwitchPhase::Unwinding
+    const bool held = group.phase == SwitchPhase::Arming || group.phase == SwitchPhase::Recovering
         || group.phase == SwitchPhase::Releasing;
     // The leader itself has the group held and lets it go: through a sidecar, the VM of the one
     // that knows and of the one that is held could freeze together.
-    const bool ofHold = order.kind == RankOrderKind::Hold || order.kind == RankOrderKind::Go;
+    const bool ofHold = order.kind == RankOrderKind::Hold || order.kind == RankOrderKind::Release;
     const bool direct =
         (ofHold && rank != group.ownRank) || (held && isSilentAlone(group, timing, view, now));
     const bool changes = order.kind == RankOrderKind::Prepare && asChanges(group, view);
-    step.actions.push_back({rank, view.status.engine, std::move(order), direct, changes});
+    update.actions.push_back({rank, view.status.engine, std::move(order), direct, changes});
 }
 
-void setBase(GroupSwitch &group, const ExpertProfile &profile, const RankMap &present)
+void setBase(GroupSwitch &group, const ExpertProfile &profile, const RankMap &current)
 {
     group.baseVersion = group.ranks.begin()->second.status.report.map;
     const bool known =
-        group.baseVersion != 0 || present == firstRankMap(profile, group.ranks.size());
-    group.base = known ? present : RankMap{};
+        group.baseVersion != 0 || current == firstRankMap(profile, group.ranks.size());
+    group.base = known ? current : RankMap{};
 }
 
 } // namespace wisteria
--- a/Tests/Gateway/CodecTest.cpp
+++ b/Tests/Gateway/CodecTest.cpp
@@ -114,10 +114,10 @@
     REQUIRE(report.groupOpen);
     REQUIRE(report.prepared == 8);
     REQUIRE(report.armed == 8);
-    REQUIRE(report.armedStep == 11);
-    REQUIRE(report.heldStep == 11);
+    REQUIRE(report.armedPass == 11);
+    REQUIRE(report.heldPass == 11);
     const auto idle = decodeReport(okResponse(R"({"armed":null,"held":null})")).value();
-    REQUIRE_FALSE(idle.heldStep);
+    REQUIRE_FALSE(idle.heldPass);
     REQUIRE(idle.armed == 0);
     REQUIRE(decodeReport(okResponse("nonsense")).has_error());
     REQUIRE(decodeExpertCounts(okResponse(R"({"expert_counts":[1,"x"]})")).has_error());
@@ -126,11 +126,11 @@
 TEST_CASE("An order carries what its kind needs, and nothing else")
 {
     const std::string hold =
-        orderRequest({.kind = RankOrderKind::Hold, .epoch = 3, .version = 0, .step = 12});
+        orderRequest({.kind = RankOrderKind::Hold, .epoch = 3, .version = 0, .pass = 12});
     REQUIRE(hold.find(R"("step":12)") != std::string::npos);
     REQUIRE(hold.find("version") == std::string::npos);
     const std::string prepare = orderRequest(
-        {.kind = RankOrderKind::Prepare, .epoch = 3, .version = 5, .step = 0, .map = {{{0}, {1}}}});
+        {.kind = RankOrderKind::Prepare, .epoch = 3, .version = 5, .pass = 0, .map = {{{0}, {1}}}});
     REQUIRE(prepare.find(R"("map":[[[0],[1]]])") != std::string::npos);
     HttpResponse conflict;
     conflict.head.status = 409;
@@ -202,13 +202,13 @@
 {
     RankStatus status{.engine = {7, 80}, .readAtMilliseconds = 12};
     status.report.group = "g";
-    status.report.heldStep = 4;
+    status.report.heldPass = 4;
     status.report.slowdown = 2.5;
     status.experts = {{1, 2}, {3}};
     const auto back = decodeMessage(encodeMessage(status)).value();
     const auto &read = std::get<RankStatus>(back);
     REQUIRE(read.engine == status.engine);
-    REQUIRE(read.report.heldStep == 4);
+    REQUIRE(read.report.heldPass == 4);
     REQUIRE(read.report.slowdown == 2.5);
     REQUIRE(read.experts == status.experts);
 
--- a/Tests/Gateway/MetricsTest.cpp
+++ b/Tests/Gateway/MetricsTest.cpp
@@ -109,7 +109,7 @@
     setGatewayState(metrics, {});
     GroupSwitch group;
     group.heldSince = TimePoint(seconds(1));
-    countSwitchStep(metrics, group, SwitchNote::InForce, TimePoint(seconds(2)));
+    countSwitchEvent(metrics, group, SwitchEvent::InForce, TimePoint(seconds(2)));
     countOrder(metrics, RankOrderKind::Arm, "done");
     setSidecarState(metrics, {});
     return metrics.text();
--- a/Tests/Programs/Bench/PlacementReplayTest.cpp
+++ b/Tests/Programs/Bench/PlacementReplayTest.cpp
@@ -38,7 +38,7 @@
 double recomputeMeanSkew(const LoadTrace &trace, const std::vector<PublishedMap> &maps)
 {
     RankGroup group = trace.group;
-    std::vector<LayerMap> present(group.layers);
+    std::vector<LayerMap> current(group.layers);
     std::vector<std::vector<double>> loads(group.layers);
     std::size_t nextMap = 0;
     std::size_t nextLine = 0;
@@ -49,7 +49,7 @@
     for (milliseconds now = trace.lines.front().at; now < end; now += tick) {
         bool changed = false;
         for (; nextMap < maps.size() && maps[nextMap].at <= now; ++nextMap, changed = true)
-            present[maps[nextMap].layer] = maps[nextMap].map;
+            current[maps[nextMap].layer] = maps[nextMap].map;
         for (; nextLine < trace.lines.size() && trace.lines[nextLine].at <= now; ++nextLine) {
             const TraceLine &line = trace.lines[nextLine];
             loads[line.layer] = line.loads;
@@ -59,7 +59,7 @@
         }
         for (std::uint32_t layer = 0; layer < group.layers; ++layer) {
             if (changed)
-                skews[layer] = layerSkew(group, present[layer], loads[layer]);
+                skews[layer] = layerSkew(group, current[layer], loads[layer]);
             sum += skews[layer];
         }
     }
@@ -87,16 +87,16 @@
 TEST_CASE("Staged moves never exceed the weight store's rate")
 {
     for (const PlacementPolicy policy :
-         {PlacementPolicy::Greedy, PlacementPolicy::Periodic, PlacementPolicy::Wisteria}) {
+         {PlacementPolicy::Greedy, PlacementPolicy::Periodic, PlacementPolicy::CostAware}) {
         const LoadTrace trace = generateTrace(smallRecipe(TraceKind::HotExpert));
         std::map<milliseconds, std::uint64_t> loadedBy;
-        std::vector<LayerMap> present(trace.group.layers);
+        std::vector<LayerMap> current(trace.group.layers);
         ReplayOptions options;
         options.policy = policy;
         options.mapInForce = [&](milliseconds at, std::uint32_t layer, const LayerMap &map) {
-            if (!present[layer].ranks.empty())
-                loadedBy[at] += countMoves(present[layer], map) * trace.group.expertBytes;
-            present[layer] = map;
+            if (!current[layer].ranks.empty())
+                loadedBy[at] += countMoves(current[layer], map) * trace.group.expertBytes;
+            current[layer] = map;
         };
         REQUIRE(replayTrace(trace, options));
         REQUIRE_FALSE(loadedBy.empty());
--- a/Tests/Version/CountsAggregationTest.cpp
+++ b/Tests/Version/CountsAggregationTest.cpp
@@ -13,8 +13,11 @@
 namespace {
 
 constexpr std::size_t rankCount = 63;
-const ExpertProfile profile{
-    .sets = 8, .expertsPerSet = 252, .expertsPerRank = 5, .loadsPerMap = 2, .loadMilliseconds = 14};
+const ExpertProfile profile{.sets = 8,
+                            .expertsPerSet = 252,
+                            .expertsPerRank = 5,
+                            .copiesPerMap = 2,
+                            .copyMilliseconds = 14};
 
 CountsReply toldBy(std::uint64_t epoch, std::vector<std::uint64_t> counts)
 {
--- a/Tests/Version/DemandPlacementTest.cpp
+++ b/Tests/Version/DemandPlacementTest.cpp
@@ -14,8 +14,11 @@
 namespace {
 
 constexpr std::size_t rankCount = 16;
-const ExpertProfile profile{
-    .sets = 4, .expertsPerSet = 64, .expertsPerRank = 5, .loadsPerMap = 2, .loadMilliseconds = 111};
+const ExpertProfile profile{.sets = 4,
+                            .expertsPerSet = 64,
+                            .expertsPerRank = 5,
+                            .copiesPerMap = 2,
+                            .copyMilliseconds = 111};
 
 RankMap firstMap()
 {
@@ -41,14 +44,14 @@
     return demand;
 }
 
-bool keepsRules(const RankMap &present, const RankMap &next)
+bool keepsRules(const RankMap &current, const RankMap &next)
 {
     for (std::size_t set = 0; set < next.size(); ++set) {
         std::vector<int> replicas(profile.expertsPerSet);
         for (std::size_t rank = 0; rank < rankCount; ++rank) {
             const auto &held = next[set][rank];
-            const auto loads = missingExperts(present[set][rank], held).size();
-            if (held.size() > profile.expertsPerRank || loads > profile.loadsPerMap)
+            const auto loads = missingExperts(current[set][rank], held).size();
+            if (held.size() > profile.expertsPerRank || loads > profile.copiesPerMap)
                 return false;
             for (const std::uint32_t expert : held)
                 ++replicas[expert];
@@ -125,7 +128,7 @@
     const auto take = [&](const std::vector<std::uint64_t> &counts, TimePoint now) {
         ExpertDemand window;
         addCounts(window, small, counts);
-        takeWindow(demand, window, now);
+        mergeWindow(demand, window, now);
     };
     take({100, 0}, start);
     REQUIRE(demand.loads[0][0] == 100);
@@ -187,8 +190,8 @@
     const ExpertProfile large{.sets = 12,
                               .expertsPerSet = 144,
                               .expertsPerRank = 3,
-                              .loadsPerMap = 2,
-                              .loadMilliseconds = 16.4};
+                              .copiesPerMap = 2,
+                              .copyMilliseconds = 16.4};
     constexpr std::size_t ranks = 72;
     RankMap map(large.sets, std::vector<std::vector<std::uint32_t>>(ranks));
     std::mt19937_64 random(1);
@@ -205,7 +208,7 @@
     REQUIRE(proposal);
     REQUIRE(proposal->skewBefore > 2);
     REQUIRE(proposal->skewAfter < 1.5);
-    CAPTURE(proposal->searchedTerms, proposal->skewAfter, proposal->loads);
+    CAPTURE(proposal->searchedTerms, proposal->skewAfter, proposal->copies);
     REQUIRE(proposal->searchedTerms < 80'000);
 }
 
@@ -216,8 +219,8 @@
     const ExpertProfile large{.sets = 8,
                               .expertsPerSet = 252,
                               .expertsPerRank = 5,
-                              .loadsPerMap = 2,
-                              .loadMilliseconds = 14.2};
+                              .copiesPerMap = 2,
+                              .copyMilliseconds = 14.2};
     constexpr std::size_t ranks = 63;
     const std::vector<double> slowdowns(ranks, 1.0);
     std::mt19937_64 random(3);
--- a/Tests/Version/DemandShiftTest.cpp
+++ b/Tests/Version/DemandShiftTest.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint32_t rankCount = 16;
 const ExpertProfile profile{
-    .sets = 4, .expertsPerSet = 64, .expertsPerRank = 6, .loadsPerMap = 3, .loadMilliseconds = 14};
+    .sets = 4, .expertsPerSet = 64, .expertsPerRank = 6, .copiesPerMap = 3, .copyMilliseconds = 14};
 
 /// Counts of the whole group in a tenth of a second, some experts liked many times more.
 std::vector<std::uint64_t> drawCounts(std::uint64_t seed)
@@ -42,19 +42,19 @@
 
     /// One window of counts, a tenth of a second after the last one.
     /// @param passes Passes that it is of.
-    SwitchNote window(const std::vector<std::uint64_t> &counts, std::uint64_t passes = 1,
-                      std::uint32_t ranks = rankCount)
+    SwitchEvent window(const std::vector<std::uint64_t> &counts, std::uint64_t passes = 1,
+                       std::uint32_t ranks = rankCount)
     {
         now_ += milliseconds(100);
         tellStatuses();
-        takeDemand(group_, profile, timing_,
-                   {.group = "g", .epoch = 1, .ranks = ranks, .passes = passes, .counts = counts},
-                   now_);
+        addDemand(group_, profile, timing_,
+                  {.group = "g", .epoch = 1, .ranks = ranks, .passes = passes, .counts = counts},
+                  now_);
         return advanceSwitch(group_, profile, {}, timing_, {.rank = 0, .versionTick = 1}, now_)
-            .note;
+            .event;
     }
 
-    const std::optional<TimePoint> &shiftSeenAt() const { return group_.shiftSeenAt; }
+    const std::optional<TimePoint> &demandShiftedAt() const { return group_.demandShiftedAt; }
 
     const RankMap &proposed() const { return group_.map; }
 
@@ -67,7 +67,7 @@
                 .group = "g", .epoch = 1, .rank = rank, .groupSize = rankCount, .groupOpen = true};
             for (const auto &set : map_)
                 status.experts.push_back(set[rank]);
-            takeStatus(group_, status, now_);
+            applyStatus(group_, status, now_);
         }
     }
 
@@ -112,12 +112,12 @@
         const auto after = drawCounts(seed + 100);
         Group group(settledMap(before));
         for (int i = 0; i < 5; ++i)
-            REQUIRE(group.window(before) == SwitchNote::Nothing);
+            REQUIRE(group.window(before) == SwitchEvent::Nothing);
         CAPTURE(seed);
-        REQUIRE(group.window(mixed(before, after), 2) == SwitchNote::Nothing);
+        REQUIRE(group.window(mixed(before, after), 2) == SwitchEvent::Nothing);
         // A mixture that stays within the noise of prompts shows the shift one window later.
-        if (group.window(after, 2) != SwitchNote::Preparing)
-            REQUIRE(group.window(after, 2) == SwitchNote::Preparing);
+        if (group.window(after, 2) != SwitchEvent::Preparing)
+            REQUIRE(group.window(after, 2) == SwitchEvent::Preparing);
         REQUIRE(skewUnder(after, group.proposed()) < 1.25);
     }
 }
@@ -129,13 +129,13 @@
     Group group(settledMap(before));
     for (int i = 0; i < 5; ++i)
         group.window(before);
-    REQUIRE_FALSE(group.shiftSeenAt());
+    REQUIRE_FALSE(group.demandShiftedAt());
     // No pass began since the last question.
-    REQUIRE(group.window(std::vector<std::uint64_t>(before.size(), 0), 0) == SwitchNote::Nothing);
-    REQUIRE(group.window(after) == SwitchNote::Preparing);
+    REQUIRE(group.window(std::vector<std::uint64_t>(before.size(), 0), 0) == SwitchEvent::Nothing);
+    REQUIRE(group.window(after) == SwitchEvent::Preparing);
     REQUIRE(skewUnder(after, group.proposed()) < 1.25);
     // The line of the switch tells how long ago this was.
-    REQUIRE(group.shiftSeenAt());
+    REQUIRE(group.demandShiftedAt());
 }
 
 TEST_CASE("Counts of some ranks that come late do not hold up the look for a better map")
@@ -147,6 +147,6 @@
         group.window(before);
     constexpr std::uint32_t heard = rankCount - 4;
     int windows = 0;
-    while (group.window(after, 1, heard) != SwitchNote::Preparing)
+    while (group.window(after, 1, heard) != SwitchEvent::Preparing)
         REQUIRE(++windows < 3);
 }
--- a/Tests/Version/PlacementStagingTest.cpp
+++ b/Tests/Version/PlacementStagingTest.cpp
@@ -42,14 +42,14 @@
     const RankGroup group = makeGroup();
     std::mt19937_64 engine(4);
     for (int round = 0; round < 30; ++round) {
-        const ExpertMap present = drawMap(group, engine);
+        const ExpertMap current = drawMap(group, engine);
         const ExpertMap next = drawMap(group, engine);
-        const StagingPlan plan = planStaging(group, present, next).value();
+        const StagingPlan plan = planStaging(group, current, next).value();
         std::size_t moves = 0;
         for (std::uint32_t layer = 0; layer < group.layers; ++layer)
-            moves += countMoves(present.layers[layer], next.layers[layer]);
+            moves += countMoves(current.layers[layer], next.layers[layer]);
         REQUIRE(plan.transfers.size() == moves);
-        ExpertMap loaded = present;
+        ExpertMap loaded = current;
         milliseconds before(0);
         double bytes = 0;
         for (const StagedTransfer &transfer : plan.transfers) {
@@ -63,7 +63,7 @@
         REQUIRE(plan.duration == before);
         for (std::uint32_t layer = 0; layer < group.layers; ++layer)
             REQUIRE(countMoves(loaded.layers[layer], next.layers[layer]) == 0);
-        REQUIRE(planStaging(group, present, next).value().transfers == plan.transfers);
+        REQUIRE(planStaging(group, current, next).value().transfers == plan.transfers);
     }
 }
 
@@ -73,14 +73,14 @@
 {
     RankGroup group = makeGroup();
     std::mt19937_64 engine(8);
-    const ExpertMap present = drawMap(group, engine);
+    const ExpertMap current = drawMap(group, engine);
     const ExpertMap next = drawMap(group, engine);
     group.ranks[2].memoryBytes = group.layers * group.ranks[2].slots * group.expertBytes;
-    const Result<StagingPlan> refused = planStaging(group, present, next);
+    const Result<StagingPlan> refused = planStaging(group, current, next);
     REQUIRE_FALSE(refused);
     CHECK(refused.error().message.find("rank 2 needs ") == 0);
-    CHECK(planStaging(group, present, present).value().transfers.empty());
+    CHECK(planStaging(group, current, current).value().transfers.empty());
     ExpertMap wrong = next;
     wrong.layers.pop_back();
-    CHECK_FALSE(planStaging(group, present, wrong));
+    CHECK_FALSE(planStaging(group, current, wrong));
 }
--- a/Tests/Version/PlacementTest.cpp
+++ b/Tests/Version/PlacementTest.cpp
@@ -7,9 +7,9 @@
 
 #include <catch2/catch.hpp>
 
-#include "Version/PlacementBound.h"
 #include "Version/PlacementGreedy.h"
 #include "Version/PlacementSearch.h"
+#include "Version/SkewLowerBound.h"
 
 using namespace wisteria;
 
@@ -106,7 +106,7 @@
         const std::vector<double> loads = drawLoads(group.experts, engine);
         for (PlacementState *state : {&first, &second}) {
             reportAll(group, *state, loads, now);
-            switchDone(*state, decidePlacement(PlacementPolicy::Wisteria, group, *state, now),
+            switchDone(*state, decidePlacement(PlacementPolicy::CostAware, group, *state, now),
                        true);
         }
         for (std::uint32_t layer = 0; layer < group.layers; ++layer)
@@ -129,7 +129,7 @@
             const TimePoint now = TimePoint() + report * interval;
             reportAll(group, state, addNoise(expected, 0.08, engine), now);
             const PlacementDecision decision =
-                decidePlacement(PlacementPolicy::Wisteria, group, state, now);
+                decidePlacement(PlacementPolicy::CostAware, group, state, now);
             for (const LayerDecision &layer : decision.layers)
                 switches[layer.layer] += layer.next ? 1 : 0;
             switchDone(state, decision, true);
@@ -153,7 +153,7 @@
             expected[coldest] = 2.0;
         const TimePoint now = TimePoint() + report * interval;
         reportAll(group, state, addNoise(expected, 0.08, engine), now);
-        switchDone(state, decidePlacement(PlacementPolicy::Wisteria, group, state, now), true);
+        switchDone(state, decidePlacement(PlacementPolicy::CostAware, group, state, now), true);
     }
     CHECK(layerSkew(group, state.layers[0].map, expected) < 1.15);
 }
@@ -170,7 +170,7 @@
             group.ranks[3].speed = 0.5;
         const TimePoint now = TimePoint() + report * interval;
         reportAll(group, state, addNoise(loads, 0.02, engine), now);
-        switchDone(state, decidePlacement(PlacementPolicy::Wisteria, group, state, now), true);
+        switchDone(state, decidePlacement(PlacementPolicy::CostAware, group, state, now), true);
     }
     CHECK(layerSkew(group, state.layers[0].map, loads) < 1.1);
 }
@@ -183,7 +183,7 @@
     for (const std::uint64_t room : {0, 2, 5}) {
         for (RankCapacity &rank : group.ranks)
             rank.memoryBytes = (group.layers * rank.slots + room) * group.expertBytes;
-        for (const PlacementPolicy policy : {PlacementPolicy::Greedy, PlacementPolicy::Wisteria}) {
+        for (const PlacementPolicy policy : {PlacementPolicy::Greedy, PlacementPolicy::CostAware}) {
             PlacementState state = startedState(group);
             std::mt19937_64 engine(21);
             for (int report = 0; report < 20; ++report) {
@@ -282,11 +282,11 @@
         SearchLimits limits;
         limits.maxMoves = 64;
         SearchBudget budget;
-        const LayerMap present = initialLayerMap(group);
+        const LayerMap current = initialLayerMap(group);
         const SearchResult found =
-            improveLayerMap(group, present, present, problem, limits, budget);
+            improveLayerMap(group, current, current, problem, limits, budget);
         REQUIRE(checkLayerMap(group, found.map));
-        CHECK(found.foundSkew <= found.presentSkew);
+        CHECK(found.foundSkew <= found.currentSkew);
         const double bound = lowerBoundSkew(group, problem.loads);
         CHECK(layerSkew(group, found.map, problem.loads) >= bound - 1e-9);
         CHECK(layerSkew(group, greedyLayerMap(group, problem.loads), problem.loads)
--- a/Tests/Version/RankGroupWorld.h
+++ b/Tests/Version/RankGroupWorld.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "Version/GroupDemand.h"
-#include "Version/GroupViews.h"
+#include "Version/GroupQueries.h"
 #include "Version/LeaderElection.h"
 #include "Version/RankSwitch.h"
 
@@ -20,8 +20,8 @@
 inline const ExpertProfile profile{.sets = 1,
                                    .expertsPerSet = expertCount,
                                    .expertsPerRank = 3,
-                                   .loadsPerMap = 2,
-                                   .loadMilliseconds = 100};
+                                   .copiesPerMap = 2,
+                                   .copyMilliseconds = 100};
 
 /// What goes wrong in one run.
 struct Trouble
@@ -97,7 +97,7 @@
     std::uint32_t switches() const { return switches_; }
 
     /// Tells the rank's holder to hold, as a leader that is gone did.
-    void holdByNobody() { ranks_[1].report.heldStep = ranks_[1].report.step + 2; }
+    void holdByNobody() { ranks_[1].report.heldPass = ranks_[1].report.pass + 2; }
 
     /// Has a rank take a version of its own, as late orders do, while the group is being let go.
     void overtake(std::uint32_t rank, std::uint64_t version)
@@ -119,7 +119,7 @@
         }
         holdByNobody();
         ranks_[2].report.armed = 5;
-        ranks_[2].report.armedStep = *ranks_[1].report.heldStep;
+        ranks_[2].report.armedPass = *ranks_[1].report.heldPass;
     }
 
 private:
@@ -227,27 +227,27 @@
 
     void beginPass()
     {
-        const std::uint64_t step = ranks_.front().report.step + 1;
+        const std::uint64_t pass = ranks_.front().report.pass + 1;
         for (const Rank &rank : ranks_) {
-            if (rank.report.heldStep == step)
+            if (rank.report.heldPass == pass)
                 return;
         }
         nextPassAt_ = now_ + between(30, 60);
         lastPassAt_ = now_;
         for (Rank &rank : ranks_)
-            beginPass(rank, step);
+            beginPass(rank, pass);
         for (const Rank &rank : ranks_)
             mixed_ = mixed_ || rank.report.map != ranks_.front().report.map
                 || rank.mapInForce != ranks_.front().mapInForce;
     }
 
-    void beginPass(Rank &rank, std::uint64_t step)
+    void beginPass(Rank &rank, std::uint64_t pass)
     {
-        rank.report.step = step;
-        const std::uint32_t hot = static_cast<std::uint32_t>(step / 30) % expertCount;
+        rank.report.pass = pass;
+        const std::uint32_t hot = static_cast<std::uint32_t>(pass / 30) % expertCount;
         for (std::uint32_t expert = 0; expert < expertCount; ++expert)
             rank.counts[expert] = expert == hot ? 2000 : 300;
-        if (rank.report.armedStep != step || rank.report.armed == 0)
+        if (rank.report.armedPass != pass || rank.report.armed == 0)
             return;
         rank.report.map = rank.report.armed;
         rank.report.armed = 0;
@@ -270,7 +270,7 @@
     void carryOut(Rank &rank, const RankOrder &order)
     {
         RankReport &report = rank.report;
-        const bool begun = order.step <= report.step;
+        const bool begun = order.pass <= report.pass;
         if (order.epoch != report.epoch)
             return;
         switch (order.kind) {
@@ -287,19 +287,19 @@
             if (report.prepared != order.version || begun)
                 return;
             report.armed = order.version;
-            report.armedStep = order.step;
+            report.armedPass = order.pass;
             return;
         case RankOrderKind::Disarm:
             if (report.armed == order.version)
                 report.armed = 0;
             return;
         case RankOrderKind::Hold:
-            if (!begun && !report.heldStep)
-                report.heldStep = order.step;
+            if (!begun && !report.heldPass)
+                report.heldPass = order.pass;
             return;
-        case RankOrderKind::Go:
-            if (report.heldStep == order.step)
-                report.heldStep.reset();
+        case RankOrderKind::Release:
+            if (report.heldPass == order.pass)
+                report.heldPass.reset();
             return;
         }
     }
@@ -348,8 +348,8 @@
                 later(between(1, 30) + queue(leader), [this, leader, told, counts] {
                     if (leader >= leaders_.size() || leaders_[leader].frozen(now_))
                         return;
-                    takeStatus(leaders_[leader].group, told, now_);
-                    takeDemand(leaders_[leader].group, profile, SwitchTiming{}, counts, now_);
+                    applyStatus(leaders_[leader].group, told, now_);
+                    addDemand(leaders_[leader].group, profile, SwitchTiming{}, counts, now_);
                 });
             }
         }
@@ -379,9 +379,9 @@
         if (leader.frozen(now_))
             return;
         const auto tick = static_cast<std::uint64_t>(remaining(TimePoint(), now_).count() / 100);
-        const SwitchStep step = advanceSwitch(leader.group, profile, bounds_, SwitchTiming{},
-                                              {.rank = leader.rank, .versionTick = tick}, now_);
-        for (const SwitchAction &action : step.actions) {
+        const SwitchUpdate update = advanceSwitch(leader.group, profile, bounds_, SwitchTiming{},
+                                                  {.rank = leader.rank, .versionTick = tick}, now_);
+        for (const SwitchAction &action : update.actions) {
             if (chance(trouble_.lostMessages))
                 continue;
             freezeAfter(leader, action.order.kind);
@@ -404,7 +404,7 @@
     std::vector<Event> events_;
     std::map<std::uint32_t, std::deque<RankStatus>> told_;
     PlacementBounds bounds_{
-        .leastGain = 0.1, .leastGainPerCopySecond = 0.01, .copyTime = milliseconds(200)};
+        .minGain = 0.1, .minGainPerCopySecond = 0.01, .copyTime = milliseconds(200)};
     TimePoint leaderBornAt_;
     TimePoint nextPassAt_;
     TimePoint nextTellAt_;
--- a/Tests/Version/RankSwitchTest.cpp
+++ b/Tests/Version/RankSwitchTest.cpp
@@ -130,15 +130,15 @@
                 .group = "g", .epoch = 1, .rank = rank, .groupSize = ranks, .groupOpen = true};
             status.report.prepared = 7;
             const milliseconds age(rank < silent ? 300 : 20);
-            takeStatus(group, status, now - age);
+            applyStatus(group, status, now - age);
         }
         group.phase = SwitchPhase::Arming;
         group.version = 7;
-        group.step = 9;
-        const SwitchStep step =
+        group.pass = 9;
+        const SwitchUpdate update =
             advanceSwitch(group, profile, {}, SwitchTiming{}, {.rank = 0, .versionTick = 1}, now);
-        REQUIRE(step.actions.size() == ranks);
-        return std::count_if(step.actions.begin(), step.actions.end(),
+        REQUIRE(update.actions.size() == ranks);
+        return std::count_if(update.actions.begin(), update.actions.end(),
                              [](const SwitchAction &action) { return action.direct; });
     };
     REQUIRE(directOrders(0) == 0);
@@ -155,7 +155,7 @@
                      .rank = 150,
                      .groupSize = 192,
                      .groupOpen = true,
-                     .step = 300,
+                     .pass = 300,
                      .map = 6'700'000'000'000};
     status.experts.assign(10, {200, 300, 380});
     const std::size_t whole = encodeMessage(status).size();
