--- a/Source/Connection/CallerProtocol.cpp
+++ b/Source/Connection/CallerProtocol.cpp
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <xxhash.h>
 
-#include "Request/KeyHome.h"
+#include "Request/KeyHashing.h"
 
 namespace wisteria {
 
--- a/Source/Connection/TimedCalls.cpp
+++ b/Source/Connection/TimedCalls.cpp
@@ -40,7 +40,7 @@
     state.http = pool_.call(to, std::move(request), ConnectionUse::Reuse, std::move(events), now);
 }
 
-void TimedCalls::checkTime(TimePoint now)
+void TimedCalls::checkTimeouts(TimePoint now)
 {
     std::vector<std::uint64_t> late;
     for (const auto &[id, call] : calls_) {
--- a/Source/Connection/TimedCalls.h
+++ b/Source/Connection/TimedCalls.h
@@ -28,7 +28,7 @@
                TimePoint now);
 
     /// Ends the calls whose time is over.
-    void checkTime(TimePoint now);
+    void checkTimeouts(TimePoint now);
 
     std::size_t open() const { return calls_.size(); }
 
--- a/Source/Process/AgentPeerCalls.cpp
+++ b/Source/Process/AgentPeerCalls.cpp
@@ -14,10 +14,10 @@
 
 } // namespace
 
-AgentPeerCalls::AgentPeerCalls(EventLoop &loop, PeerServer &server, GateState &gate,
+AgentPeerCalls::AgentPeerCalls(EventLoop &loop, PeerServer &server, AdmissionState &admission,
                                AgentIdentity identity, const AgentWorkerEvents &events)
-    : loop_(loop), server_(server), gate_(gate), identity_(std::move(identity)), events_(events),
-      peers_(loop, PeerTimeouts{})
+    : loop_(loop), server_(server), admission_(admission), identity_(std::move(identity)),
+      events_(events), peers_(loop, PeerTimeouts{})
 { }
 
 void AgentPeerCalls::start()
@@ -50,8 +50,8 @@
         return server_.abort(stream);
     const TimePoint now = monotonicNow();
     for (const v1::SuspectReport &report : heartbeat.suspects())
-        mergeSuspectReport(gate_.suspects, report, now);
-    if (heartbeat.config_version() > gate_.configVersion)
+        mergeSuspectReport(admission_.suspects, report, now);
+    if (heartbeat.config_version() > admission_.configVersion)
         fetchConfig(heartbeat.address());
     answer(stream, ownHeartbeat(now));
 }
@@ -62,10 +62,10 @@
     heartbeat.set_process(identity_.name);
     heartbeat.set_role("agent");
     heartbeat.set_incarnation(identity_.incarnation);
-    heartbeat.set_config_version(gate_.configVersion);
-    heartbeat.set_state(gate_.leaving ? "leaving" : "serving");
-    *heartbeat.mutable_load() = loadReport(gate_);
-    for (const v1::SuspectReport &report : suspectReports(gate_.suspects, now))
+    heartbeat.set_config_version(admission_.configVersion);
+    heartbeat.set_state(admission_.leaving ? "leaving" : "serving");
+    *heartbeat.mutable_load() = loadReport(admission_);
+    for (const v1::SuspectReport &report : suspectReports(admission_.suspects, now))
         *heartbeat.add_suspects() = report;
     return heartbeat;
 }
@@ -75,7 +75,7 @@
     if (address.empty() || std::exchange(fetching_, true))
         return;
     v1::ConfigFetch fetch;
-    fetch.set_newer_than(gate_.configVersion);
+    fetch.set_newer_than(admission_.configVersion);
     callPeer<v1::ConfigFetchReply>(peers_.clientFor(address), "/v1/config", fetch,
                                    [this](const std::optional<v1::ConfigFetchReply> &reply) {
                                        fetching_ = false;
@@ -100,20 +100,20 @@
     v1::KeyHandover question;
     if (!question.ParseFromString(content))
         return server_.abort(stream);
-    answer(stream, answerHandover(gate_, question));
+    answer(stream, answerHandover(admission_, question));
 }
 
 void AgentPeerCalls::askHandovers()
 {
-    for (const HandoverWanted &wanted : handoversWanted(gate_)) {
-        if (!asked_.insert(wanted.formerHome).second)
+    for (const HandoverWanted &wanted : handoversWanted(admission_)) {
+        if (!asked_.insert(wanted.formerOwner).second)
             continue;
         callPeer<v1::KeyHandoverReply>(
             peers_.clientFor(wanted.address), "/v1/handover", wanted.message,
-            [this, home = wanted.formerHome](const std::optional<v1::KeyHandoverReply> &reply) {
-                asked_.erase(home);
+            [this, owner = wanted.formerOwner](const std::optional<v1::KeyHandoverReply> &reply) {
+                asked_.erase(owner);
                 if (reply)
-                    handoverAnswered(gate_, home, *reply, monotonicNow(), wallNow());
+                    handoverAnswered(admission_, owner, *reply, monotonicNow(), wallNow());
             });
     }
 }
--- a/Source/Process/AgentPeerCalls.h
+++ b/Source/Process/AgentPeerCalls.h
@@ -8,7 +8,7 @@
 #include "Connection/PeerServer.h"
 #include "Process/AgentWorkerEvents.h"
 // The questions are about the gate's state.
-#include "Request/AgentGate.h"
+#include "Request/AgentAdmission.h"
 
 namespace wisteria {
 
@@ -26,8 +26,8 @@
 {
 public:
     /// All references outlive this object.
-    AgentPeerCalls(EventLoop &loop, PeerServer &server, GateState &gate, AgentIdentity identity,
-                   const AgentWorkerEvents &events);
+    AgentPeerCalls(EventLoop &loop, PeerServer &server, AdmissionState &admission,
+                   AgentIdentity identity, const AgentWorkerEvents &events);
 
     /// Begins to ask former homes for their keys; goes on until the loop stops.
     void start();
@@ -49,7 +49,7 @@
 
     EventLoop &loop_;
     PeerServer &server_;
-    GateState &gate_;
+    AdmissionState &admission_;
     AgentIdentity identity_;
     const AgentWorkerEvents &events_;
     PeerPool peers_;
--- a/Source/Process/AgentWorker.cpp
+++ b/Source/Process/AgentWorker.cpp
@@ -62,11 +62,11 @@
         : name_(settings.name), metrics_(metrics), events_(std::move(events)),
           server_(loop_, *this), backend_(loop_, settings.backendUrl),
           health_(loop_, backend_, [this](BackendCondition seen) { conditionSeen(seen); }),
-          calls_(loop_, server_, gate_, {settings.name, incarnation}, events_),
+          calls_(loop_, server_, admission_, {settings.name, incarnation}, events_),
           logger_(loggerFor("agent"))
     {
-        gate_.ownName = settings.name;
-        gate_.incarnation = incarnation;
+        admission_.ownName = settings.name;
+        admission_.incarnation = incarnation;
     }
 
     ~Private() override
@@ -98,7 +98,7 @@
     {
         if (!runs_.contains(stream))
             return;
-        perform(wisteria::streamCancelled(gate_, stream, monotonicNow()));
+        perform(wisteria::streamCancelled(admission_, stream, monotonicNow()));
         // A run under a key goes on without its entry, so that a repeat finds the answer.
         const auto run = runs_.find(stream);
         if (run != runs_.end() && !run->second.call)
@@ -115,7 +115,7 @@
     void configure(const std::shared_ptr<const ConfigState> &config)
     {
         calls_.setConfiguration(config);
-        perform(setGateConfiguration(gate_, *config, name_, monotonicNow(), wallNow()));
+        perform(setAdmissionConfiguration(admission_, *config, name_, monotonicNow(), wallNow()));
         metrics_.set("wisteria_config_version", "Configuration version in force.",
                      static_cast<double>(config->version));
     }
@@ -123,16 +123,16 @@
     /// Former homes on VMs that are gone can run no key any more.
     void noteVms(const VmView &view)
     {
-        for (const HandoverWanted &wanted : handoversWanted(gate_)) {
+        for (const HandoverWanted &wanted : handoversWanted(admission_)) {
             if (isVmGone(view, wanted.vm))
-                vmGone(gate_, wanted.vm, monotonicNow(), wallNow());
+                vmGone(admission_, wanted.vm, monotonicNow(), wallNow());
         }
     }
 
     void leave(std::function<void()> idleCallback)
     {
         logger_->info("Leaving: {} streams are open.", server_.openStreams());
-        perform(beginLeaving(gate_, monotonicNow()));
+        perform(beginLeaving(admission_, monotonicNow()));
         server_.beginShutdown();
         waitUntilIdle(std::move(idleCallback));
     }
@@ -150,7 +150,7 @@
         run.deadline = now + milliseconds(run.head.remaining_ms());
         const v1::RunHead head = run.head;
         runs_[stream] = std::move(run);
-        perform(runArrived(gate_, stream, head, now, wallNow()));
+        perform(runArrived(admission_, stream, head, now, wallNow()));
     }
 
     static bool readRun(const std::vector<std::string> &frames, Run &run)
@@ -177,9 +177,9 @@
         sendFrame(stream, frame, true);
     }
 
-    void perform(const GateActions &actions)
+    void perform(const AdmissionActions &actions)
     {
-        for (const GateAction &action : actions)
+        for (const AdmissionAction &action : actions)
             std::visit([this](const auto &one) { performOne(one); }, action);
     }
 
@@ -311,7 +311,7 @@
         if (end == BackendEnd::Answered)
             result.body = run.kept;
         const bool accepted = run.accepted;
-        const GateActions actions = backendEnded(gate_, stream, result, monotonicNow());
+        const AdmissionActions actions = backendEnded(admission_, stream, result, monotonicNow());
         if (accepted) {
             sendEnd(stream, run.head, end == BackendEnd::Answered, run.answerBytes);
             countRun(end == BackendEnd::Answered ? "answered" : "cut");
@@ -351,8 +351,8 @@
         v1::AgentFrame frame;
         frame.set_request_id(head.request_id());
         frame.set_attempt(head.attempt());
-        frame.set_config_version(gate_.configVersion);
-        *frame.mutable_load() = loadReport(gate_);
+        frame.set_config_version(admission_.configVersion);
+        *frame.mutable_load() = loadReport(admission_);
         return frame;
     }
 
@@ -366,7 +366,7 @@
     void tickLater()
     {
         loop_.runAfter(tickInterval, [this] {
-            perform(tick(gate_, monotonicNow(), wallNow()));
+            perform(tick(admission_, monotonicNow(), wallNow()));
             tickLater();
         });
     }
@@ -375,15 +375,15 @@
     {
         const bool died = condition == BackendCondition::Dead;
         const bool stalled = condition == BackendCondition::Stalled;
-        if (stalled && !std::exchange(gate_.backendStalled, true))
+        if (stalled && !std::exchange(admission_.backendStalled, true))
             logger_->warn("The backend server is stalled: it gives its health check no answer.");
-        gate_.backendStalled = stalled;
-        if (died && gate_.backendUp)
-            logger_->warn("The backend server died with {} running.", gate_.running.size());
-        if (condition == BackendCondition::Up && !gate_.backendUp)
+        admission_.backendStalled = stalled;
+        if (died && admission_.backendUp)
+            logger_->warn("The backend server died with {} running.", admission_.running.size());
+        if (condition == BackendCondition::Up && !admission_.backendUp)
             logger_->info("The backend server is up.");
         if (condition != BackendCondition::Stalled)
-            perform(backendHealth(gate_, !died, monotonicNow()));
+            perform(backendHealth(admission_, !died, monotonicNow()));
         endCutRuns(died ? BackendEnd::Died : BackendEnd::Cut);
     }
 
@@ -400,7 +400,7 @@
 
     void waitUntilIdle(std::function<void()> idleCallback)
     {
-        if (idle(gate_) && server_.openStreams() == 0)
+        if (idle(admission_) && server_.openStreams() == 0)
             return idleCallback();
         loop_.runAfter(idleCheck, [this, idleCallback = std::move(idleCallback)]() mutable {
             waitUntilIdle(std::move(idleCallback));
@@ -417,7 +417,7 @@
     Metrics &metrics_;
     AgentWorkerEvents events_;
     EventLoop loop_;
-    GateState gate_;
+    AdmissionState admission_;
     PeerServer server_;
     BackendClient backend_;
     BackendHealth health_;
--- a/Source/Process/AgentWorker.h
+++ b/Source/Process/AgentWorker.h
@@ -8,7 +8,7 @@
 #include "Process/AgentWorkerEvents.h"
 #include "Process/Metrics.h"
 // The worker owns the gate that its attempts pass.
-#include "Request/AgentGate.h"
+#include "Request/AgentAdmission.h"
 #include "Version/VmList.h"
 
 namespace wisteria {
--- a/Source/Process/EntryDirectory.cpp
+++ b/Source/Process/EntryDirectory.cpp
@@ -90,7 +90,7 @@
         // Records that retention dropped are made up for by each entry's next one.
         if (batch.value().first > members_.position + 1)
             members_.position = batch.value().first - 1;
-        if (takeMembers(members_, batch.value(), monotonicNow())) {
+        if (updateMembers(members_, batch.value(), monotonicNow())) {
             loggerFor("entries")->info("{} entries share the work.", members_.members.size());
             changed_(members_);
         }
--- a/Source/Process/EntryWorker.cpp
+++ b/Source/Process/EntryWorker.cpp
@@ -52,7 +52,7 @@
 {
     std::set<std::string> addresses;
     for (const auto &[name, service] : state.declared->services) {
-        for (const auto &[home, address] : service.homes)
+        for (const auto &[owner, address] : service.ownerAddresses)
             addresses.insert(address);
     }
     return addresses;
--- a/Source/Process/VmWatcher.cpp
+++ b/Source/Process/VmWatcher.cpp
@@ -56,7 +56,7 @@
         const auto list = parseVmList(answer.body);
         if (list.has_error())
             return loggerFor("vms")->warn("{}", list.error().message);
-        takeVmList(view_, list.value(), monotonicNow());
+        updateVmList(view_, list.value(), monotonicNow());
         seen_(view_);
     }
 
--- a/Source/Programs/Bench/LoadTrace.cpp
+++ b/Source/Programs/Bench/LoadTrace.cpp
@@ -50,7 +50,7 @@
 /// What is wrong with a line; empty when nothing is.
 std::string lineFault(const LoadTrace &trace, const TraceLine &line)
 {
-    constexpr double leastSpeed = 1e-6;
+    constexpr double minSpeed = 1e-6;
     if (line.layer >= trace.group.layers)
         return "the layer is not below the header's number of layers";
     if (line.loads.size() != trace.group.experts || !allAtLeast(line.loads, 0))
@@ -60,7 +60,7 @@
     const bool speeds = !line.rankSpeeds.empty();
     if (speeds && line.rankSpeeds.size() != trace.group.ranks.size())
         return "rank_speeds needs one number for each rank";
-    if (speeds && !allAtLeast(line.rankSpeeds, leastSpeed))
+    if (speeds && !allAtLeast(line.rankSpeeds, minSpeed))
         return "rank_speeds needs numbers above 0";
     if (!trace.lines.empty() && line.at < trace.lines.back().at)
         return "at_ms goes back; sort the lines by time";
--- a/Source/Programs/Bench/LoadWorker.cpp
+++ b/Source/Programs/Bench/LoadWorker.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr int eventBatch = 64;
-constexpr auto longestWait = std::chrono::milliseconds(100);
+constexpr auto maxWait = std::chrono::milliseconds(100);
 
 /// One connection's place: a curl handle and the request it carries now.
 struct Slot
@@ -89,7 +89,7 @@
         while (ended_ < plan_.requests) {
             startDueRequests(monotonicNow());
             waitForEvents();
-            takeAnswers(monotonicNow());
+            collectAnswers(monotonicNow());
         }
         return std::move(tally_);
     }
@@ -179,7 +179,7 @@
 
     std::chrono::nanoseconds untilNextStep(TimePoint now) const
     {
-        TimePoint next = now + longestWait;
+        TimePoint next = now + maxWait;
         if (timer_)
             next = std::min(next, *timer_);
         if (started_ < plan_.requests && !idle_.empty())
@@ -208,7 +208,7 @@
         }
     }
 
-    void takeAnswers(TimePoint now)
+    void collectAnswers(TimePoint now)
     {
         int left = 0;
         while (const CURLMsg *message = curl_multi_info_read(multi_, &left)) {
--- a/Source/Programs/Bench/PlacementReplay.cpp
+++ b/Source/Programs/Bench/PlacementReplay.cpp
@@ -70,7 +70,7 @@
     void finishSwitch(milliseconds now);
     void carry(const TraceLine &line);
     void measureFloors(const TraceLine &line);
-    Result<void> takeReports(milliseconds now);
+    Result<void> addReports(milliseconds now);
     Result<void> decide(milliseconds now);
     Result<void> stage(milliseconds now, PlacementDecision decision);
     void remeasure(std::uint32_t layer, milliseconds now);
@@ -192,7 +192,7 @@
     measureFloors(line);
 }
 
-Result<void> Replay::takeReports(milliseconds now)
+Result<void> Replay::addReports(milliseconds now)
 {
     while (!reports_.empty() && reports_.begin()->first == now) {
         const TraceLine &line = *reports_.begin()->second;
@@ -200,7 +200,7 @@
         for (std::size_t rank = 0; rank < line.rankSpeeds.size(); ++rank)
             knownGroup_.ranks[rank].speed = line.rankSpeeds[rank];
         const LoadReport report{TimePoint(line.at), line.layer, line.loads};
-        BOOST_OUTCOME_TRYV(takeLoadReport(knownGroup_, state_, report));
+        BOOST_OUTCOME_TRYV(addLoadReport(knownGroup_, state_, report));
     }
     return boost::outcome_v2::success();
 }
@@ -253,7 +253,7 @@
         for (; nextLine_ < trace_.lines.size() && trace_.lines[nextLine_].at == *now; ++nextLine_)
             carry(trace_.lines[nextLine_]);
         const bool reported = !reports_.empty() && reports_.begin()->first == *now;
-        BOOST_OUTCOME_TRYV(takeReports(*now));
+        BOOST_OUTCOME_TRYV(addReports(*now));
         if (reported) {
             BOOST_OUTCOME_TRYV(decide(*now));
         }
--- a/Source/Programs/Gateway/BackendList.cpp
+++ b/Source/Programs/Gateway/BackendList.cpp
@@ -15,11 +15,11 @@
 
 } // namespace
 
-BackendList::BackendList(BackendRegistry &registry, EventLog &log, milliseconds readPause)
-    : registry_(registry), log_(log), graceAfterOutage_(backAfterOutage + readPause + readTime)
+BackendList::BackendList(BackendRegistry &registry, EventLog &log, milliseconds pollInterval)
+    : registry_(registry), log_(log), graceAfterOutage_(backAfterOutage + pollInterval + readTime)
 { }
 
-void BackendList::take(const platform::KeyedRecord &record, TimePoint now)
+void BackendList::apply(const platform::KeyedRecord &record, TimePoint now)
 {
     if (record.value.empty()) {
         remove(record.key, now);
@@ -51,12 +51,12 @@
     putBackend(registry_, entry.value(), now);
 }
 
-void BackendList::takeAll(const std::vector<platform::KeyedRecord> &records, TimePoint now)
+void BackendList::applyAll(const std::vector<platform::KeyedRecord> &records, TimePoint now)
 {
     std::set<std::string> named;
     for (const platform::KeyedRecord &record : records) {
         named.insert(record.key);
-        take(record, now);
+        apply(record, now);
     }
     std::vector<std::string> gone;
     for (const auto &[id, state] : registry_.backends) {
@@ -68,7 +68,7 @@
     known_ = true;
 }
 
-void BackendList::storeRegained(TimePoint now)
+void BackendList::storeReconnected(TimePoint now)
 {
     graceUntil_ = now + graceAfterOutage_;
 }
@@ -85,7 +85,7 @@
     removeBackend(registry_, id);
 }
 
-void BackendList::checkTime(TimePoint now)
+void BackendList::checkTimeouts(TimePoint now)
 {
     for (auto entry = missing_.begin(); entry != missing_.end();) {
         if (now < entry->second) {
--- a/Source/Programs/Gateway/BackendList.h
+++ b/Source/Programs/Gateway/BackendList.h
@@ -18,17 +18,17 @@
 class BackendList
 {
 public:
-    /// @param readPause Pause between two reads of the list.
-    BackendList(BackendRegistry &registry, EventLog &log, milliseconds readPause);
+    /// @param pollInterval Pause between two reads of the list.
+    BackendList(BackendRegistry &registry, EventLog &log, milliseconds pollInterval);
 
     /// Takes in one entry of the list.
-    void take(const platform::KeyedRecord &record, TimePoint now);
+    void apply(const platform::KeyedRecord &record, TimePoint now);
     /// Takes in the whole list.
-    void takeAll(const std::vector<platform::KeyedRecord> &records, TimePoint now);
+    void applyAll(const std::vector<platform::KeyedRecord> &records, TimePoint now);
     /// The store answers again.
-    void storeRegained(TimePoint now);
+    void storeReconnected(TimePoint now);
     /// Drops what is still missing.
-    void checkTime(TimePoint now);
+    void checkTimeouts(TimePoint now);
 
     bool known() const { return known_; }
 
--- a/Source/Programs/Gateway/Exchange.cpp
+++ b/Source/Programs/Gateway/Exchange.cpp
@@ -372,7 +372,7 @@
     }
 }
 
-void Exchange::checkTime(TimePoint now)
+void Exchange::checkTimeouts(TimePoint now)
 {
     if (finished_)
         return;
--- a/Source/Programs/Gateway/Exchange.h
+++ b/Source/Programs/Gateway/Exchange.h
@@ -48,7 +48,7 @@
     bool tryDispatch(TimePoint now);
 
     /// Ends what has waited or worked for too long.
-    void checkTime(TimePoint now);
+    void checkTimeouts(TimePoint now);
 
     /// The caller takes bytes again.
     void callerDrained();
--- a/Source/Programs/Gateway/Gateway.cpp
+++ b/Source/Programs/Gateway/Gateway.cpp
@@ -16,7 +16,7 @@
 #include "Programs/Gateway/LimitPermits.h"
 #include "Programs/Gateway/Session.h"
 #include "Programs/Gateway/SidecarHellos.h"
-#include "Programs/Gateway/StorePacing.h"
+#include "Programs/Gateway/StorePolling.h"
 #include "Programs/Gateway/StoreWatch.h"
 #include "Version/GroupMessages.h"
 #include "platform/ConfigurationCodec.h"
@@ -80,7 +80,7 @@
                                  .routes = nullptr,
                                  .listChanged =
                                      [this] { backendsWatch_->readSoon(monotonicNow()); }},
-          list_(registry_, log_, backendsPause(settings_.drainTime)),
+          list_(registry_, log_, backendsPollInterval(settings_.drainTime)),
           callers_(loop_, [this](int descriptor) { acceptCaller(descriptor); }),
           readiness_(
               loop_,
@@ -127,23 +127,24 @@
             loop_, pool_, log_, metrics_, settings_.store,
             WatchPlan{"configuration", platform::operatorTopic,
                       configurationWait(settings_.configurationTime), milliseconds(0)},
-            WatchEvents{.record = [this](const auto &record) { takeConfiguration(record); },
+            WatchEvents{.record = [this](const auto &record) { applyConfiguration(record); },
                         .snapshot =
                             [this](const auto &records) {
                                 for (const auto &record : records)
-                                    takeConfiguration(record);
+                                    applyConfiguration(record);
                             },
-                        .regained = [] {},
+                        .reconnected = [] {},
                         .confirmed = [this](TimePoint at) { context_.routesConfirmedAt = at; },
                         .upToDate = [](TimePoint) {}});
         backendsWatch_ = std::make_unique<StoreWatch>(
             loop_, pool_, log_, metrics_, settings_.store,
             WatchPlan{"backends", platform::backendsTopic, milliseconds(0),
-                      backendsPause(settings_.drainTime)},
+                      backendsPollInterval(settings_.drainTime)},
             WatchEvents{
-                .record = [this](const auto &record) { list_.take(record, monotonicNow()); },
-                .snapshot = [this](const auto &records) { list_.takeAll(records, monotonicNow()); },
-                .regained = [this] { list_.storeRegained(monotonicNow()); },
+                .record = [this](const auto &record) { list_.apply(record, monotonicNow()); },
+                .snapshot =
+                    [this](const auto &records) { list_.applyAll(records, monotonicNow()); },
+                .reconnected = [this] { list_.storeReconnected(monotonicNow()); },
                 .confirmed = [](TimePoint) {},
                 .upToDate =
                     [this](TimePoint at) {
@@ -153,7 +154,7 @@
                     }});
     }
 
-    void takeConfiguration(const platform::KeyedRecord &record)
+    void applyConfiguration(const platform::KeyedRecord &record)
     {
         if (record.key != platform::configurationKey || record.value.empty())
             return;
@@ -180,7 +181,7 @@
             return;
         }
         if (const auto *load = std::get_if<EngineLoad>(&message.value()))
-            takeLoad(*load);
+            applyLoad(*load);
         else if (std::holds_alternative<EngineListRequest>(message.value()))
             hellos_.sendEngineList(from);
         else if (const auto *permitRequest = std::get_if<PermitRequestMessage>(&message.value()))
@@ -189,7 +190,7 @@
             receivePermitReply(from, *permitReply);
     }
 
-    void takeLoad(const EngineLoad &load)
+    void applyLoad(const EngineLoad &load)
     {
         const BackendLoad reported{.running = load.running,
                                    .waiting = load.waiting,
@@ -222,12 +223,13 @@
 
     void acceptCaller(int descriptor)
     {
-        const std::size_t most = settings_.openFiles > descriptorsKept
+        const std::size_t maxSessions = settings_.openFiles > descriptorsKept
             ? (settings_.openFiles - descriptorsKept) / 2
             : settings_.openFiles / 2;
-        if (sessions_.size() >= most) {
+        if (sessions_.size() >= maxSessions) {
             ::close(descriptor);
-            log_.warn("caller.refused", {{"reason", "too many connections"}, {"limit", most}});
+            log_.warn("caller.refused",
+                      {{"reason", "too many connections"}, {"limit", maxSessions}});
             return;
         }
         const std::uint64_t id = ++lastSession_;
@@ -334,15 +336,15 @@
         for (const std::uint64_t id : ids) {
             const auto found = sessions_.find(id);
             if (found != sessions_.end())
-                found->second->checkTime(now);
+                found->second->checkTimeouts(now);
         }
         hellos_.sendDue(now);
-        directory_->checkTime(now);
+        directory_->checkTimeouts(now);
         if (permits_->requestPermits(now))
             serveWaitingSoon();
-        configurationWatch_->checkTime(now);
-        backendsWatch_->checkTime(now);
-        list_.checkTime(now);
+        configurationWatch_->checkTimeouts(now);
+        backendsWatch_->checkTimeouts(now);
+        list_.checkTimeouts(now);
         pool_.closeExpired(now);
         if (stopping_)
             checkStop(now);
--- a/Source/Programs/Gateway/GatewayDirectory.cpp
+++ b/Source/Programs/Gateway/GatewayDirectory.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "Programs/Gateway/StorePacing.h"
+#include "Programs/Gateway/StorePolling.h"
 
 namespace wisteria {
 
@@ -18,7 +18,7 @@
 constexpr seconds directoryRetry{5};
 /// Pause between two writes of the own entry, doubled up to the longest.
 constexpr milliseconds firstWritePause{1000};
-constexpr milliseconds longestWritePause{8000};
+constexpr milliseconds maxWritePause{8000};
 
 } // namespace
 
@@ -30,9 +30,9 @@
       watch_(loop, pool, log, metrics, store,
              WatchPlan{"gateways", platform::gatewaysTopic, directoryWait, directoryPause,
                        directoryRetry},
-             WatchEvents{.record = [this](const auto &record) { take(record); },
-                         .snapshot = [this](const auto &records) { takeAll(records); },
-                         .regained = [] {},
+             WatchEvents{.record = [this](const auto &record) { apply(record); },
+                         .snapshot = [this](const auto &records) { applyAll(records); },
+                         .reconnected = [] {},
                          .confirmed = [](TimePoint) {},
                          .upToDate = [](TimePoint) {}})
 { }
@@ -45,7 +45,7 @@
     return own != gateways_.end() && own->second.address == address_;
 }
 
-void GatewayDirectory::take(const platform::KeyedRecord &record)
+void GatewayDirectory::apply(const platform::KeyedRecord &record)
 {
     if (record.value.empty()) {
         gateways_.erase(record.key);
@@ -65,20 +65,20 @@
     log_.info("gateway.entry", {{"gateway", record.key}, {"address", record.value}});
 }
 
-void GatewayDirectory::takeAll(const std::vector<platform::KeyedRecord> &records)
+void GatewayDirectory::applyAll(const std::vector<platform::KeyedRecord> &records)
 {
     std::erase_if(gateways_, [&records](const auto &entry) {
         return std::none_of(records.begin(), records.end(),
                             [&entry](const auto &record) { return record.key == entry.first; });
     });
     for (const platform::KeyedRecord &record : records)
-        take(record);
+        apply(record);
     known_ = true;
 }
 
-void GatewayDirectory::checkTime(TimePoint now)
+void GatewayDirectory::checkTimeouts(TimePoint now)
 {
-    watch_.checkTime(now);
+    watch_.checkTimeouts(now);
     if (call_ && now - callBegunAt_ >= storeAnswerTimeout) {
         call_.reset();
         log_.warn("gateway.not_listed", {{"reason", "no answer in time"}});
@@ -90,7 +90,7 @@
 void GatewayDirectory::write(TimePoint now)
 {
     writeAgainAt_ = now + writePause_;
-    writePause_ = std::min(longestWritePause, writePause_ * 2);
+    writePause_ = std::min(maxWritePause, writePause_ * 2);
     callBegunAt_ = now;
     response_ = {};
     CallEvents events{.accept = {},
--- a/Source/Programs/Gateway/GatewayDirectory.h
+++ b/Source/Programs/Gateway/GatewayDirectory.h
@@ -27,12 +27,12 @@
     const std::string &self() const { return self_; }
 
     /// Writes the own entry where it is lacking.
-    void checkTime(TimePoint now);
+    void checkTimeouts(TimePoint now);
 
 private:
     bool listed() const;
-    void take(const platform::KeyedRecord &record);
-    void takeAll(const std::vector<platform::KeyedRecord> &records);
+    void apply(const platform::KeyedRecord &record);
+    void applyAll(const std::vector<platform::KeyedRecord> &records);
     void write(TimePoint now);
     void noteWritten();
 
--- a/Source/Programs/Gateway/Session.cpp
+++ b/Source/Programs/Gateway/Session.cpp
@@ -205,12 +205,12 @@
     events_.slotFreed();
 }
 
-void Session::checkTime(TimePoint now)
+void Session::checkTimeouts(TimePoint now)
 {
     if (over_)
         return;
     if (exchange_) {
-        exchange_->checkTime(now);
+        exchange_->checkTimeouts(now);
         return;
     }
     if (early_) {
--- a/Source/Programs/Gateway/Session.h
+++ b/Source/Programs/Gateway/Session.h
@@ -31,7 +31,7 @@
 
     Exchange *exchange() { return exchange_.get(); }
     bool idle() const { return !exchange_ && !early_; }
-    void checkTime(TimePoint now);
+    void checkTimeouts(TimePoint now);
     /// Closes a connection on which no request is under way.
     void closeIdle();
 
--- a/Source/Programs/Gateway/StoreWatch.cpp
+++ b/Source/Programs/Gateway/StoreWatch.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::uint32_t mostDoublings = 10;
+constexpr std::uint32_t maxDoublings = 10;
 /// Time between the beginnings of two reads, at least, however many wishes there are for one.
-constexpr milliseconds leastReadPeriod{100};
+constexpr milliseconds minReadPeriod{100};
 
 } // namespace
 
@@ -44,7 +44,7 @@
 {
     const std::string after = newest_.empty() ? "" : newest_.back().key;
     call(platform::newestRequest(plan_.topic, after), storeAnswerTimeout,
-         [this](const HttpResponse &response) { takeNewest(response); });
+         [this](const HttpResponse &response) { applyNewest(response); });
 }
 
 void StoreWatch::readLog()
@@ -54,7 +54,7 @@
     // answered once, reads ask for what is there and don't wait.
     const milliseconds wait = failures_ > 0 ? milliseconds(0) : plan_.wait;
     call(platform::logReadRequest(plan_.topic, next_, wait), wait + storeAnswerTimeout,
-         [this](const HttpResponse &response) { takeLog(response); });
+         [this](const HttpResponse &response) { applyLog(response); });
 }
 
 void StoreWatch::call(std::string request, milliseconds timeout,
@@ -84,7 +84,7 @@
     connectionIsNew_ = pool_.opened() > openedBefore;
 }
 
-void StoreWatch::takeNewest(const HttpResponse &response)
+void StoreWatch::applyNewest(const HttpResponse &response)
 {
     auto page = platform::decodeNewest(response);
     if (page.has_error()) {
@@ -108,7 +108,7 @@
     finishRead(false);
 }
 
-void StoreWatch::takeLog(const HttpResponse &response)
+void StoreWatch::applyLog(const HttpResponse &response)
 {
     auto page = platform::decodeLogRead(response, next_);
     if (page.has_error() && page.error().kind == ErrorKind::NotFound) {
@@ -132,18 +132,18 @@
 void StoreWatch::finishRead(bool behind)
 {
     if (behind) {
-        again(milliseconds(0));
+        scheduleRead(milliseconds(0));
         return;
     }
     events_.upToDate(callBegunAt_);
-    again(pauseBeforeRead(monotonicNow()));
+    scheduleRead(pauseBeforeRead(monotonicNow()));
 }
 
 milliseconds StoreWatch::pauseBeforeRead(TimePoint now) const
 {
     if (!soon_)
-        return plan_.pause;
-    return std::max(milliseconds(0), leastReadPeriod - remaining(callBegunAt_, now));
+        return plan_.interval;
+    return std::max(milliseconds(0), minReadPeriod - remaining(callBegunAt_, now));
 }
 
 void StoreWatch::readSoon(TimePoint now)
@@ -153,14 +153,14 @@
     soon_ = true;
     // A read that is under way may have been answered before the news; another one follows it.
     if (!call_)
-        again(pauseBeforeRead(now));
+        scheduleRead(pauseBeforeRead(now));
 }
 
 void StoreWatch::succeeded()
 {
     if (failures_ > 0) {
         log_.info("store.regained", {{"what", plan_.name}, {"failures", failures_}});
-        events_.regained();
+        events_.reconnected();
     }
     failures_ = 0;
     countStoreCall(metrics_, plan_.name, "answered");
@@ -170,8 +170,8 @@
 
 void StoreWatch::fail(const std::string &reason, TimePoint now)
 {
-    const std::uint32_t doublings = std::min(failures_, mostDoublings);
-    const milliseconds pause = std::min(plan_.longestRetry, storeFirstRetry * (1 << doublings));
+    const std::uint32_t doublings = std::min(failures_, maxDoublings);
+    const milliseconds pause = std::min(plan_.maxBackoff, storeInitialBackoff * (1 << doublings));
     const char *event = failures_ == 0 ? "store.lost" : "store.call_failed";
     ++failures_;
     log_.warn(event,
@@ -182,10 +182,10 @@
                {"failures", failures_},
                {"next_in_s", secondsOf(pause)}});
     countStoreCall(metrics_, plan_.name, "failed");
-    again(pause);
+    scheduleRead(pause);
 }
 
-void StoreWatch::again(milliseconds after)
+void StoreWatch::scheduleRead(milliseconds after)
 {
     if (after <= milliseconds(0)) {
         loop_.cancel(timer_);
@@ -196,7 +196,7 @@
     timer_ = loop_.runAfter(after, [this] { start(); });
 }
 
-void StoreWatch::checkTime(TimePoint now)
+void StoreWatch::checkTimeouts(TimePoint now)
 {
     if (!call_ || now < giveUpAt_)
         return;
--- a/Source/Programs/Gateway/StoreWatch.h
+++ b/Source/Programs/Gateway/StoreWatch.h
@@ -7,7 +7,7 @@
 #include "Process/EventLog.h"
 #include "Process/EventLoop.h"
 #include "Process/Metrics.h"
-#include "Programs/Gateway/StorePacing.h"
+#include "Programs/Gateway/StorePolling.h"
 #include "platform/StoreCodec.h"
 
 namespace wisteria {
@@ -22,10 +22,10 @@
     /// for what is there.
     milliseconds wait{0};
     /// Pause between two reads.
-    milliseconds pause{0};
+    milliseconds interval{0};
     /// Longest pause after failed calls. Calls are priced, and the store's rates are shared by all
     /// VMs.
-    milliseconds longestRetry{storeLongestRetry};
+    milliseconds maxBackoff{storeMaxBackoff};
 };
 
 /// What a watch tells.
@@ -36,7 +36,7 @@
     /// The newest record of each key follows as `record`, in place of all that was told before.
     std::function<void(const std::vector<platform::KeyedRecord> &)> snapshot;
     /// The store answers again after it did not.
-    std::function<void()> regained;
+    std::function<void()> reconnected;
     /// What is known of the topic is as the store had it at this time.
     std::function<void(TimePoint)> confirmed;
     /// All that the store had at this time has been told.
@@ -58,7 +58,7 @@
     void readSoon(TimePoint now);
 
     /// Gives up a call that has taken too long.
-    void checkTime(TimePoint now);
+    void checkTimeouts(TimePoint now);
 
     /// When the store last answered; nothing before its first answer.
     std::optional<TimePoint> answeredAt() const { return answeredAt_; }
@@ -69,11 +69,11 @@
     void readLog();
     void call(std::string request, milliseconds timeout,
               std::function<void(const HttpResponse &)> done);
-    void takeNewest(const HttpResponse &response);
-    void takeLog(const HttpResponse &response);
+    void applyNewest(const HttpResponse &response);
+    void applyLog(const HttpResponse &response);
     void succeeded();
     void fail(const std::string &reason, TimePoint now);
-    void again(milliseconds after);
+    void scheduleRead(milliseconds after);
     milliseconds pauseBeforeRead(TimePoint now) const;
     void finishRead(bool behind);
 
--- a/Source/Programs/Sidecar/EngineClient.h
+++ b/Source/Programs/Sidecar/EngineClient.h
@@ -22,7 +22,7 @@
     void order(const Endpoint &engine, const RankOrder &order,
                std::function<void(Result<void>)> done);
 
-    void checkTime(TimePoint now) { calls_.checkTime(now); }
+    void checkTimeouts(TimePoint now) { calls_.checkTimeouts(now); }
 
 private:
     TimedCalls calls_;
--- a/Source/Programs/Sidecar/Sidecar.cpp
+++ b/Source/Programs/Sidecar/Sidecar.cpp
@@ -116,7 +116,7 @@
 
     void tick(TimePoint now)
     {
-        engines_.checkTime(now);
+        engines_.checkTimeouts(now);
         pool_.closeExpired(now);
         const bool attentive = now < attentiveUntil_;
         if (!reading_ && now - readAt_ >= (attentive ? reportPeriodSwitching : reportPeriod))
--- a/Source/Request/GateAdmission.cpp
+++ b/Source/Request/AdmissionChecks.cpp
@@ -1,39 +1,40 @@
 #include <algorithm>
 #include <chrono>
 
-#include "Request/GateKeys.h"
-#include "Request/GateQueue.h"
-#include "Request/KeyHome.h"
+#include "Request/AdmissionKeys.h"
+#include "Request/AttemptQueue.h"
+#include "Request/KeyHashing.h"
 
 namespace wisteria {
 
 namespace {
 
 /// Why this agent takes no such work at all now.
-std::optional<RefuseAttempt> refusedByState(GateState &state, const GateRun &run)
+std::optional<RefuseAttempt> refusedByState(AdmissionState &state, const AgentAttempt &run)
 {
     if (!state.configured)
-        return refuseNotRun(state, run, v1::REASON_STARTING, longGateRetry);
+        return refuseNotRun(state, run, v1::REASON_STARTING, longAdmissionRetry);
     if (run.head.service() != state.service.name())
         return refuseNotRun(state, run, v1::REASON_WRONG_SERVICE, milliseconds(0));
     if (state.leaving || state.declared.draining())
-        return refuseNotRun(state, run, v1::REASON_LEAVING, longGateRetry);
+        return refuseNotRun(state, run, v1::REASON_LEAVING, longAdmissionRetry);
     // The entry knows a newer configuration, which may have moved the key or removed the service.
     if (run.key && run.head.config_version() > state.configVersion)
-        return refuseNotRun(state, run, v1::REASON_STALE_CONFIG, shortGateRetry);
+        return refuseNotRun(state, run, v1::REASON_STALE_CONFIG, shortAdmissionRetry);
     // Failure: a stalled backend server takes requests and answers none, and each caller learns it
     // at its own deadline. The health check learns it once for all.
     if (!state.backendUp || state.backendStalled)
-        return refuseNotRun(state, run, v1::REASON_BACKEND_DOWN, longGateRetry);
+        return refuseNotRun(state, run, v1::REASON_BACKEND_DOWN, longAdmissionRetry);
     return std::nullopt;
 }
 
-std::optional<RefuseAttempt> refusedBySuspicion(GateState &state, GateRun &run, TimePoint now)
+std::optional<RefuseAttempt> refusedBySuspicion(AdmissionState &state, AgentAttempt &run,
+                                                TimePoint now)
 {
     const Suspicion suspicion = suspicionOf(state.suspects, run.head.fingerprint(), now);
-    if (suspicion == Suspicion::Convicted) {
-        renewConviction(state.suspects, run.head.fingerprint(), now);
-        return refuseNotRun(state, run, v1::REASON_CONVICTED, convictionTime);
+    if (suspicion == Suspicion::Quarantined) {
+        renewQuarantine(state.suspects, run.head.fingerprint(), now);
+        return refuseNotRun(state, run, v1::REASON_CONVICTED, quarantineTime);
     }
     if (suspicion == Suspicion::None || run.alone)
         return std::nullopt;
@@ -45,7 +46,8 @@
     return refuseNotRun(state, run, v1::REASON_SUSPECT, milliseconds(0));
 }
 
-std::optional<RefuseAttempt> refusedByQueue(GateState &state, const GateRun &run, TimePoint now)
+std::optional<RefuseAttempt> refusedByQueue(AdmissionState &state, const AgentAttempt &run,
+                                            TimePoint now)
 {
     if (pastDeadline(state, run, now))
         return refuseNotRun(state, run, v1::REASON_DEADLINE, milliseconds(0));
@@ -60,14 +62,15 @@
     const bool startsNow = state.queue.empty() && mayStartNow(state, run);
     if (!startsNow && state.queue.size() >= bound) {
         const auto oneRun = std::chrono::duration_cast<milliseconds>(state.serviceTime);
-        return refuseNotRun(state, run, v1::REASON_QUEUE_FULL, std::max(oneRun, shortGateRetry));
+        return refuseNotRun(state, run, v1::REASON_QUEUE_FULL,
+                            std::max(oneRun, shortAdmissionRetry));
     }
     return std::nullopt;
 }
 
 /// Answers a known key, or says that it is unknown, in flight or gone.
 /// @return Whether the attempt was answered.
-bool answerKnownKey(GateState &state, const GateRun &run, GateActions &actions)
+bool answerKnownKey(AdmissionState &state, const AgentAttempt &run, AdmissionActions &actions)
 {
     const KeyAnswer known = recallKey(state.keys, *run.key, run.head, state.guards);
     if (known.kind == KeyAnswerKind::NotKnown)
@@ -84,12 +87,13 @@
 
 /// Refuses a key that may not run here, or has run.
 /// @return Whether the attempt was answered.
-bool answeredByKey(GateState &state, const GateRun &run, WallTime wall, GateActions &actions)
+bool answeredByKey(AdmissionState &state, const AgentAttempt &run, WallTime wall,
+                   AdmissionActions &actions)
 {
     if (answerKnownKey(state, run, actions))
         return true;
-    const KeyStanding standing = standingOf(state, run.head.key(), run.key->first, wall);
-    if (standing.mayRun)
+    const KeyEligibility eligibility = eligibilityOf(state, run.head.key(), run.key->first, wall);
+    if (eligibility.mayRun)
         return false;
     // Nothing is known of the key here, so only the caller's word that this is its first try makes
     // "not run" true; and this try is refused for good, so that it stays true.
@@ -100,11 +104,11 @@
     if (firstTry)
         refuseTry(state.keys, *run.key, run.head, state.guards);
     const auto kind = firstTry ? v1::VERDICT_KIND_NOT_RUN : v1::VERDICT_KIND_OUTCOME_UNKNOWN;
-    actions.emplace_back(refusal(run.stream, kind, standing.reason, standing.retryAfter));
+    actions.emplace_back(refusal(run.stream, kind, eligibility.reason, eligibility.retryAfter));
     return true;
 }
 
-std::optional<RefuseAttempt> refusedAnyhow(GateState &state, GateRun &run, TimePoint now)
+std::optional<RefuseAttempt> refusedAnyhow(AdmissionState &state, AgentAttempt &run, TimePoint now)
 {
     // First, so that an entry learns of a conviction also from an agent whose backend server is
     // down.
@@ -117,8 +121,8 @@
 
 } // namespace
 
-bool answeredAtGate(GateState &state, GateRun &run, TimePoint now, WallTime wall,
-                    GateActions &actions)
+bool answeredAtAdmission(AdmissionState &state, AgentAttempt &run, TimePoint now, WallTime wall,
+                         AdmissionActions &actions)
 {
     if (!run.head.idempotent()) {
         const auto time = keyTime(run.head.key());
--- a/Source/Request/GateConfiguration.cpp
+++ b/Source/Request/AdmissionConfiguration.cpp
@@ -1,16 +1,16 @@
 #include <algorithm>
 
-#include "Request/GateQueue.h"
-#include "Request/KeyHome.h"
+#include "Request/AttemptQueue.h"
+#include "Request/KeyHashing.h"
 #include "Version/ConfigJudge.h"
 
 namespace wisteria {
 
 namespace {
 
-std::vector<HomeMember> homeMembers(const ConfigState &config, const std::string &service)
+std::vector<OwnerCandidate> ownerCandidates(const ConfigState &config, const std::string &service)
 {
-    std::vector<HomeMember> members;
+    std::vector<OwnerCandidate> members;
     for (const auto &[key, object] : config.objects) {
         if (key.kind != v1::OBJECT_KIND_BACKEND_SERVER)
             continue;
@@ -34,7 +34,7 @@
     return std::count_if(config.seen.begin(), config.seen.end(), newer) == 1;
 }
 
-void takeDeclared(GateState &state, const ConfigState &config)
+void applyDeclared(AdmissionState &state, const ConfigState &config)
 {
     const auto own = config.objects.find({v1::OBJECT_KIND_BACKEND_SERVER, state.ownName});
     state.configured = own != config.objects.end();
@@ -53,35 +53,37 @@
 
 } // namespace
 
-GateActions setGateConfiguration(GateState &state, const ConfigState &config,
-                                 const std::string &ownName, TimePoint, WallTime wall)
+AdmissionActions setAdmissionConfiguration(AdmissionState &state, const ConfigState &config,
+                                           const std::string &ownName, TimePoint, WallTime wall)
 {
-    GateActions actions;
-    if (state.tenure.begun && config.version <= state.configVersion)
+    AdmissionActions actions;
+    if (state.ownership.begun && config.version <= state.configVersion)
         return actions;
-    const bool contiguous = state.tenure.begun && everyVersionSeen(config, state.configVersion);
+    const bool contiguous = state.ownership.begun && everyVersionSeen(config, state.configVersion);
     state.ownName = ownName;
-    state.tenure.ownName = ownName;
+    state.ownership.ownName = ownName;
     state.configVersion = config.version;
-    takeDeclared(state, config);
-    state.tenure.service = state.service.name();
+    applyDeclared(state, config);
+    state.ownership.service = state.service.name();
     // An earlier life of this process, or a home of a version not seen here, may have run any key
     // made until now. Keys ahead of our clock by the allowance are let in, hence twice.
     if (!contiguous)
         state.keys.floor = std::max(state.keys.floor, wall + 2 * clockSkewAllowance);
-    setHomes(state.tenure, homeMembers(config, state.service.name()), config.version, contiguous);
-    refuseQueued(state, v1::REASON_NOT_HOME, shortGateRetry, actions, [&](const GateRun &run) {
-        return run.key && state.guards.homeOnly
-            && !isHome(state.tenure, canonicalKey(run.head.key()));
-    });
+    setOwnerCandidates(state.ownership, ownerCandidates(config, state.service.name()),
+                       config.version, contiguous);
+    refuseQueued(state, v1::REASON_NOT_HOME, shortAdmissionRetry, actions,
+                 [&](const AgentAttempt &run) {
+                     return run.key && state.guards.ownerOnly
+                         && !isOwner(state.ownership, canonicalKey(run.head.key()));
+                 });
     if (!state.configured || state.declared.draining()) {
-        refuseQueued(state, v1::REASON_LEAVING, longGateRetry, actions,
-                     [](const GateRun &) { return true; });
+        refuseQueued(state, v1::REASON_LEAVING, longAdmissionRetry, actions,
+                     [](const AgentAttempt &) { return true; });
     }
     return actions;
 }
 
-v1::LoadReport loadReport(const GateState &state)
+v1::LoadReport loadReport(const AdmissionState &state)
 {
     v1::LoadReport report;
     report.set_running(state.running.size());
@@ -93,24 +95,24 @@
     return report;
 }
 
-std::vector<HandoverWanted> handoversWanted(const GateState &state)
+std::vector<HandoverWanted> handoversWanted(const AdmissionState &state)
 {
-    return pendingReleases(state.tenure);
+    return pendingReleases(state.ownership);
 }
 
-void handoverAnswered(GateState &state, const std::string &formerHome,
+void handoverAnswered(AdmissionState &state, const std::string &formerOwner,
                       const v1::KeyHandoverReply &reply, TimePoint, WallTime wall)
 {
     if (reply.released())
-        released(state.tenure, formerHome, reply.config_version(), wall);
+        released(state.ownership, formerOwner, reply.config_version(), wall);
 }
 
-void vmGone(GateState &state, const std::string &vm, TimePoint, WallTime wall)
+void vmGone(AdmissionState &state, const std::string &vm, TimePoint, WallTime wall)
 {
-    releasedByVm(state.tenure, vm, wall);
+    releasedByVm(state.ownership, vm, wall);
 }
 
-v1::KeyHandoverReply answerHandover(const GateState &state, const v1::KeyHandover &question)
+v1::KeyHandoverReply answerHandover(const AdmissionState &state, const v1::KeyHandover &question)
 {
     v1::KeyHandoverReply reply;
     reply.set_released(state.configVersion >= question.config_version());
--- a/Source/Request/GateKeys.cpp
+++ b/Source/Request/AdmissionKeys.cpp
@@ -1,8 +1,8 @@
-#include "Request/GateKeys.h"
+#include "Request/AdmissionKeys.h"
 
 #include <algorithm>
 
-#include "Request/KeyHome.h"
+#include "Request/KeyHashing.h"
 
 namespace wisteria {
 
@@ -100,19 +100,20 @@
         record->phase = KeyPhase::Unknown;
 }
 
-KeyStanding standingOf(const GateState &state, const std::string &key, WallTime time, WallTime wall)
+KeyEligibility eligibilityOf(const AdmissionState &state, const std::string &key, WallTime time,
+                             WallTime wall)
 {
     const RequestGuards &guards = state.guards;
-    const KeyRight right = rightTo(state.tenure, canonicalKey(key), time);
-    if (guards.homeOnly && (!state.configured || right == KeyRight::NotHome))
+    const KeyRight right = rightTo(state.ownership, canonicalKey(key), time);
+    if (guards.ownerOnly && (!state.configured || right == KeyRight::NotOwner))
         return {false, v1::REASON_NOT_HOME, inFlightRetry};
-    if (guards.tenure && right == KeyRight::Unproven)
+    if (guards.ownership && right == KeyRight::Unproven)
         return {false, v1::REASON_KEY_UNPROVEN, unprovenRetry};
     // A key ahead of our clock would look younger than our next start and could run again then.
     if (guards.keyFloor && time > wall + clockSkewAllowance)
         return {false, v1::REASON_KEY_UNPROVEN, std::min(time - wall, unprovenRetry)};
     const bool belowFloor = guards.keyFloor && time <= state.keys.floor;
-    if (belowFloor || (guards.tenure && right == KeyRight::TooOld)) {
+    if (belowFloor || (guards.ownership && right == KeyRight::TooOld)) {
         const auto untilFloor = std::max(state.keys.floor - wall, milliseconds(0));
         return {false, v1::REASON_KEY_TOO_OLD, untilFloor};
     }
--- a/Source/Request/GateKeys.h
+++ b/Source/Request/AdmissionKeys.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "Peer.pb.h"
-#include "Request/AgentGate.h"
+#include "Request/AgentAdmission.h"
 #include "Request/KeyMemory.h"
 #include "Request/RequestGuards.h"
 
@@ -46,7 +46,7 @@
 void keyUnknown(KeyMemory &memory, const KeyId &id);
 
 /// Whether a key that is not remembered may run here.
-struct KeyStanding
+struct KeyEligibility
 {
     bool mayRun = false;
     v1::Reason reason = v1::REASON_UNSPECIFIED;
@@ -54,7 +54,7 @@
 };
 
 /// Whether a key that is not remembered may run here.
-KeyStanding standingOf(const GateState &state, const std::string &key, WallTime time,
-                       WallTime wall);
+KeyEligibility eligibilityOf(const AdmissionState &state, const std::string &key, WallTime time,
+                             WallTime wall);
 
 } // namespace wisteria
--- a/Source/Request/AgentGate.cpp
+++ b/Source/Request/AgentAdmission.cpp
@@ -1,10 +1,10 @@
-#include "Request/AgentGate.h"
+#include "Request/AgentAdmission.h"
 
 #include <algorithm>
 
-#include "Request/GateKeys.h"
-#include "Request/GateQueue.h"
-#include "Request/KeyHome.h"
+#include "Request/AdmissionKeys.h"
+#include "Request/AttemptQueue.h"
+#include "Request/KeyHashing.h"
 
 namespace wisteria {
 
@@ -13,15 +13,15 @@
 /// Weight of the newest run in the smoothed service time.
 constexpr int serviceTimeSmoothing = 8;
 
-auto runOf(std::vector<GateRun> &runs, StreamId stream)
+auto runOf(std::vector<AgentAttempt> &runs, StreamId stream)
 {
     return std::find_if(runs.begin(), runs.end(),
-                        [stream](const GateRun &run) { return run.stream == stream; });
+                        [stream](const AgentAttempt &run) { return run.stream == stream; });
 }
 
-GateRun makeRun(StreamId stream, const v1::RunHead &head, TimePoint now)
+AgentAttempt makeRun(StreamId stream, const v1::RunHead &head, TimePoint now)
 {
-    GateRun run;
+    AgentAttempt run;
     run.stream = stream;
     run.head = head;
     run.arrivedAt = now;
@@ -30,7 +30,7 @@
     return run;
 }
 
-void observeServiceTime(GateState &state, microseconds taken)
+void observeServiceTime(AdmissionState &state, microseconds taken)
 {
     if (state.serviceTime.count() == 0)
         state.serviceTime = taken;
@@ -38,7 +38,7 @@
         state.serviceTime += (taken - state.serviceTime) / serviceTimeSmoothing;
 }
 
-void endKey(GateState &state, const GateRun &run, const BackendResult &result)
+void endKey(AdmissionState &state, const AgentAttempt &run, const BackendResult &result)
 {
     if (!run.key)
         return;
@@ -75,7 +75,7 @@
     return v1::REASON_CONNECTION_LOST;
 }
 
-std::uint64_t deathId(const GateState &state)
+std::uint64_t deathId(const AdmissionState &state)
 {
     const std::string life = std::to_string(state.incarnation) + '/' + std::to_string(state.deaths);
     return pairHash(state.ownName, life);
@@ -83,12 +83,12 @@
 
 } // namespace
 
-GateActions runArrived(GateState &state, StreamId stream, const v1::RunHead &head, TimePoint now,
-                       WallTime wall)
+AdmissionActions runArrived(AdmissionState &state, StreamId stream, const v1::RunHead &head,
+                            TimePoint now, WallTime wall)
 {
-    GateActions actions;
-    GateRun run = makeRun(stream, head, now);
-    if (answeredAtGate(state, run, now, wall, actions))
+    AdmissionActions actions;
+    AgentAttempt run = makeRun(stream, head, now);
+    if (answeredAtAdmission(state, run, now, wall, actions))
         return actions;
     if (run.key)
         keyInFlight(state.keys, *run.key, run.head);
@@ -97,22 +97,23 @@
     return actions;
 }
 
-GateActions backendEnded(GateState &state, StreamId stream, const BackendResult &result,
-                         TimePoint now)
+AdmissionActions backendEnded(AdmissionState &state, StreamId stream, const BackendResult &result,
+                              TimePoint now)
 {
     const auto found = runOf(state.running, stream);
     if (found == state.running.end())
         return {};
-    const GateRun run = std::move(*found);
+    const AgentAttempt run = std::move(*found);
     state.running.erase(found);
     endKey(state, run, result);
-    GateActions actions;
+    AdmissionActions actions;
     if (result.kind == BackendEnd::Answered) {
         observeServiceTime(state, std::chrono::duration_cast<microseconds>(now - run.startedAt));
         if (run.alone)
             recordGoodRun(state.suspects, run.head.fingerprint());
     } else if (result.kind == BackendEnd::Refused) {
-        actions.emplace_back(refuseNotRun(state, run, v1::REASON_BACKEND_DOWN, shortGateRetry));
+        actions.emplace_back(
+            refuseNotRun(state, run, v1::REASON_BACKEND_DOWN, shortAdmissionRetry));
     } else {
         actions.emplace_back(refusal(stream, v1::VERDICT_KIND_OUTCOME_UNKNOWN,
                                      reasonOf(result.kind), milliseconds(0)));
@@ -121,9 +122,9 @@
     return actions;
 }
 
-GateActions streamCancelled(GateState &state, StreamId stream, TimePoint now)
+AdmissionActions streamCancelled(AdmissionState &state, StreamId stream, TimePoint now)
 {
-    GateActions actions;
+    AdmissionActions actions;
     const auto queued = runOf(state.queue, stream);
     if (queued != state.queue.end()) {
         if (queued->key)
@@ -146,33 +147,33 @@
     return actions;
 }
 
-GateActions tick(GateState &state, TimePoint now, WallTime)
+AdmissionActions tick(AdmissionState &state, TimePoint now, WallTime)
 {
-    GateActions actions;
+    AdmissionActions actions;
     refuseQueued(state, v1::REASON_DEADLINE, milliseconds(0), actions,
-                 [&](const GateRun &run) { return pastDeadline(state, run, now); });
+                 [&](const AgentAttempt &run) { return pastDeadline(state, run, now); });
     forgetSuspects(state.suspects, now);
     startQueued(state, now, actions);
     return actions;
 }
 
-GateActions beginLeaving(GateState &state, TimePoint)
+AdmissionActions beginLeaving(AdmissionState &state, TimePoint)
 {
     state.leaving = true;
-    GateActions actions;
-    refuseQueued(state, v1::REASON_LEAVING, longGateRetry, actions,
-                 [](const GateRun &) { return true; });
+    AdmissionActions actions;
+    refuseQueued(state, v1::REASON_LEAVING, longAdmissionRetry, actions,
+                 [](const AgentAttempt &) { return true; });
     return actions;
 }
 
-bool idle(const GateState &state)
+bool idle(const AdmissionState &state)
 {
     return state.queue.empty() && state.running.empty();
 }
 
-GateActions backendHealth(GateState &state, bool up, TimePoint now)
+AdmissionActions backendHealth(AdmissionState &state, bool up, TimePoint now)
 {
-    GateActions actions;
+    AdmissionActions actions;
     const bool died = state.backendUp && !up;
     state.backendUp = up;
     if (up) {
@@ -182,13 +183,15 @@
     if (!died)
         return actions;
     ++state.deaths;
-    for (const GateRun &run : state.running)
+    for (const AgentAttempt &run : state.running)
         recordDeath(state.suspects, run.head.fingerprint(), deathId(state), run.alone, now);
-    refuseQueued(state, v1::REASON_CONVICTED, convictionTime, actions, [&](const GateRun &run) {
-        return suspicionOf(state.suspects, run.head.fingerprint(), now) == Suspicion::Convicted;
-    });
-    refuseQueued(state, v1::REASON_BACKEND_DOWN, longGateRetry, actions,
-                 [](const GateRun &) { return true; });
+    refuseQueued(state, v1::REASON_CONVICTED, quarantineTime, actions,
+                 [&](const AgentAttempt &run) {
+                     return suspicionOf(state.suspects, run.head.fingerprint(), now)
+                         == Suspicion::Quarantined;
+                 });
+    refuseQueued(state, v1::REASON_BACKEND_DOWN, longAdmissionRetry, actions,
+                 [](const AgentAttempt &) { return true; });
     return actions;
 }
 
--- a/Source/Request/AgentGate.h
+++ b/Source/Request/AgentAdmission.h
@@ -10,9 +10,9 @@
 #include "Peer.pb.h"
 #include "Process/Time.h"
 #include "Request/KeyMemory.h"
-#include "Request/KeyTenure.h"
+#include "Request/KeyOwnership.h"
+#include "Request/PoisonRequests.h"
 #include "Request/RequestGuards.h"
-#include "Request/SuspectBook.h"
 #include "Version/ConfigState.h"
 
 namespace wisteria {
@@ -21,7 +21,7 @@
 using StreamId = std::uint64_t;
 
 /// One attempt that is queued or runs.
-struct GateRun
+struct AgentAttempt
 {
     StreamId stream = 0;
     v1::RunHead head;
@@ -36,7 +36,7 @@
 };
 
 /// The last gate before a backend server: one per agent, used by one thread.
-struct GateState
+struct AdmissionState
 {
     /// Set by the shell before the first configuration. Empty address: not compared.
     std::string ownName;
@@ -56,11 +56,11 @@
     /// Deaths of the backend server seen by this process.
     std::uint64_t deaths = 0;
     microseconds serviceTime{0};
-    std::vector<GateRun> queue;
-    std::vector<GateRun> running;
+    std::vector<AgentAttempt> queue;
+    std::vector<AgentAttempt> running;
     KeyMemory keys;
-    KeyTenure tenure;
-    SuspectBook suspects;
+    KeyOwnership ownership;
+    PoisonRequests suspects;
 };
 
 /// Hand the attempt to the backend server.
@@ -91,8 +91,8 @@
     StreamId stream = 0;
 };
 
-using GateAction = std::variant<StartBackend, RefuseAttempt, ReplayAnswer, CancelBackend>;
-using GateActions = std::vector<GateAction>;
+using AdmissionAction = std::variant<StartBackend, RefuseAttempt, ReplayAnswer, CancelBackend>;
+using AdmissionActions = std::vector<AdmissionAction>;
 
 /// How a run at the backend server ended.
 enum class BackendEnd {
@@ -114,50 +114,51 @@
 };
 
 /// An attempt arrived whole; the shell holds its body.
-GateActions runArrived(GateState &state, StreamId stream, const v1::RunHead &head, TimePoint now,
-                       WallTime wall);
+AdmissionActions runArrived(AdmissionState &state, StreamId stream, const v1::RunHead &head,
+                            TimePoint now, WallTime wall);
 
 /// A run at the backend server ended. If the shell has not sent the ACCEPTED verdict yet, a
 /// RefuseAttempt for the same stream says what to send; otherwise the shell ends the answer with
 /// an AnswerEnd frame and ignores that action.
-GateActions backendEnded(GateState &state, StreamId stream, const BackendResult &result,
-                         TimePoint now);
+AdmissionActions backendEnded(AdmissionState &state, StreamId stream, const BackendResult &result,
+                              TimePoint now);
 
 /// The entry cancelled the attempt's stream or its connection broke.
-GateActions streamCancelled(GateState &state, StreamId stream, TimePoint now);
+AdmissionActions streamCancelled(AdmissionState &state, StreamId stream, TimePoint now);
 
 /// To be called every few milliseconds: refuses what is past its deadline, forgets old suspects.
-GateActions tick(GateState &state, TimePoint now, WallTime wall);
+AdmissionActions tick(AdmissionState &state, TimePoint now, WallTime wall);
 
 /// Takes no new work from now on: queued attempts are refused as not run, running ones go on.
-GateActions beginLeaving(GateState &state, TimePoint now);
+AdmissionActions beginLeaving(AdmissionState &state, TimePoint now);
 
 /// Whether nothing is queued or running.
-bool idle(const GateState &state);
+bool idle(const AdmissionState &state);
 
 /// The backend server came up or died. Death makes suspects of what ran, or convicts what ran
 /// alone. The shell then ends each running stream with backendEnded(Died).
-GateActions backendHealth(GateState &state, bool up, TimePoint now);
+AdmissionActions backendHealth(AdmissionState &state, bool up, TimePoint now);
 
 /// Takes a version of the configuration into force. Versions that are not newer are ignored.
 /// Queued attempts that this backend server may no longer run are refused.
-GateActions setGateConfiguration(GateState &state, const ConfigState &config,
-                                 const std::string &ownName, TimePoint now, WallTime wall);
+AdmissionActions setAdmissionConfiguration(AdmissionState &state, const ConfigState &config,
+                                           const std::string &ownName, TimePoint now,
+                                           WallTime wall);
 
 /// What rides on every frame and heartbeat.
-v1::LoadReport loadReport(const GateState &state);
+v1::LoadReport loadReport(const AdmissionState &state);
 
 /// Former homes that must release their keys before this agent runs any key they may have run.
-std::vector<HandoverWanted> handoversWanted(const GateState &state);
+std::vector<HandoverWanted> handoversWanted(const AdmissionState &state);
 
 /// A former home answered.
-void handoverAnswered(GateState &state, const std::string &formerHome,
+void handoverAnswered(AdmissionState &state, const std::string &formerOwner,
                       const v1::KeyHandoverReply &reply, TimePoint now, WallTime wall);
 
 /// The platform's list says that the VM is gone: it can run no key any more.
-void vmGone(GateState &state, const std::string &vm, TimePoint now, WallTime wall);
+void vmGone(AdmissionState &state, const std::string &vm, TimePoint now, WallTime wall);
 
 /// Answers a new home's question.
-v1::KeyHandoverReply answerHandover(const GateState &state, const v1::KeyHandover &question);
+v1::KeyHandoverReply answerHandover(const AdmissionState &state, const v1::KeyHandover &question);
 
 } // namespace wisteria
--- a/Source/Request/GateQueue.cpp
+++ b/Source/Request/AttemptQueue.cpp
@@ -1,28 +1,28 @@
-#include "Request/GateQueue.h"
+#include "Request/AttemptQueue.h"
 
 #include <algorithm>
 
-#include "Request/GateKeys.h"
+#include "Request/AdmissionKeys.h"
 
 namespace wisteria {
 
 namespace {
 
-bool runsAlone(const GateState &state)
+bool runsAlone(const AdmissionState &state)
 {
     return std::any_of(state.running.begin(), state.running.end(),
-                       [](const GateRun &run) { return run.alone; });
+                       [](const AgentAttempt &run) { return run.alone; });
 }
 
 /// Requests that would start before one of this priority.
-std::size_t queuedBefore(const GateState &state, std::uint32_t priority)
+std::size_t queuedBefore(const AdmissionState &state, std::uint32_t priority)
 {
-    return std::count_if(state.queue.begin(), state.queue.end(), [priority](const GateRun &run) {
-        return run.head.priority() >= priority;
-    });
+    return std::count_if(
+        state.queue.begin(), state.queue.end(),
+        [priority](const AgentAttempt &run) { return run.head.priority() >= priority; });
 }
 
-void start(GateState &state, GateRun run, TimePoint now, GateActions &actions)
+void start(AdmissionState &state, AgentAttempt run, TimePoint now, AdmissionActions &actions)
 {
     run.startedAt = now;
     actions.emplace_back(StartBackend{run.stream});
@@ -41,7 +41,7 @@
     return {stream, verdict};
 }
 
-RefuseAttempt refuseNotRun(GateState &state, const GateRun &run, v1::Reason reason,
+RefuseAttempt refuseNotRun(AdmissionState &state, const AgentAttempt &run, v1::Reason reason,
                            milliseconds retryAfter)
 {
     if (!run.key)
@@ -51,12 +51,12 @@
     return refusal(run.stream, kind, reason, retryAfter);
 }
 
-std::uint32_t slots(const GateState &state)
+std::uint32_t slots(const AdmissionState &state)
 {
     return std::max<std::uint32_t>(state.declared.concurrency(), 1);
 }
 
-microseconds expectedStart(const GateState &state, std::uint32_t priority)
+microseconds expectedStart(const AdmissionState &state, std::uint32_t priority)
 {
     const std::size_t ahead = state.running.size() + queuedBefore(state, priority);
     if (ahead < slots(state))
@@ -64,7 +64,7 @@
     return state.serviceTime * (ahead + 1 - slots(state)) / slots(state);
 }
 
-bool mayStartNow(const GateState &state, const GateRun &run)
+bool mayStartNow(const AdmissionState &state, const AgentAttempt &run)
 {
     if (!state.backendUp || state.backendStalled || runsAlone(state))
         return false;
@@ -74,15 +74,15 @@
     return state.running.size() < slots(state);
 }
 
-bool pastDeadline(const GateState &state, const GateRun &run, TimePoint now)
+bool pastDeadline(const AdmissionState &state, const AgentAttempt &run, TimePoint now)
 {
     return state.guards.queueDeadline && run.deadline <= now;
 }
 
-void startQueued(GateState &state, TimePoint now, GateActions &actions)
+void startQueued(AdmissionState &state, TimePoint now, AdmissionActions &actions)
 {
     while (!state.queue.empty() && mayStartNow(state, state.queue.front())) {
-        GateRun run = std::move(state.queue.front());
+        AgentAttempt run = std::move(state.queue.front());
         state.queue.erase(state.queue.begin());
         if (pastDeadline(state, run, now))
             actions.emplace_back(refuseNotRun(state, run, v1::REASON_DEADLINE, milliseconds(0)));
@@ -91,20 +91,20 @@
     }
 }
 
-void enqueue(GateState &state, GateRun run)
+void enqueue(AdmissionState &state, AgentAttempt run)
 {
     const auto behind =
-        std::find_if(state.queue.begin(), state.queue.end(), [&run](const GateRun &queued) {
+        std::find_if(state.queue.begin(), state.queue.end(), [&run](const AgentAttempt &queued) {
             return queued.head.priority() < run.head.priority();
         });
     state.queue.insert(behind, std::move(run));
 }
 
-void refuseQueued(GateState &state, v1::Reason reason, milliseconds retryAfter,
-                  GateActions &actions, const std::function<bool(const GateRun &)> &picks)
+void refuseQueued(AdmissionState &state, v1::Reason reason, milliseconds retryAfter,
+                  AdmissionActions &actions, const std::function<bool(const AgentAttempt &)> &picks)
 {
-    std::vector<GateRun> kept;
-    for (GateRun &run : state.queue) {
+    std::vector<AgentAttempt> kept;
+    for (AgentAttempt &run : state.queue) {
         if (picks(run))
             actions.emplace_back(refuseNotRun(state, run, reason, retryAfter));
         else
--- a/Source/Request/BackendRegistry.cpp
+++ b/Source/Request/BackendRegistry.cpp
@@ -10,7 +10,7 @@
 /// How long a backend server that refused a connection is avoided at first; doubled with each
 /// further failure. A crashed one is back after some seconds, and a try costs one retry.
 constexpr milliseconds firstAvoidance{300};
-constexpr milliseconds longestAvoidance{2400};
+constexpr milliseconds maxAvoidance{2400};
 /// Failures in a row after which a server that still takes connections is avoided as well. One
 /// that fails a part of its requests at random seldom gets there, and keeps its share of the work.
 constexpr std::uint32_t failuresBeforeAvoidance = 3;
@@ -434,7 +434,7 @@
         return;
     const std::uint32_t doublings =
         std::min(sure ? state.failures - 1 : state.failures - failuresBeforeAvoidance, 3U);
-    state.avoidUntil = now + std::min(longestAvoidance, firstAvoidance * (1 << doublings));
+    state.avoidUntil = now + std::min(maxAvoidance, firstAvoidance * (1 << doublings));
 }
 
 } // namespace wisteria
--- a/Source/Request/CallerSession.cpp
+++ b/Source/Request/CallerSession.cpp
@@ -169,12 +169,12 @@
     if (ended_ || !answering_)
         return;
     if (frame.has_chunk())
-        takeChunk(frame.chunk());
+        appendChunk(frame.chunk());
     if (frame.has_end())
         finishAnswer(answerIsWhole(state_, frame.end()));
 }
 
-void CallerSession::takeChunk(const std::string &bytes)
+void CallerSession::appendChunk(const std::string &bytes)
 {
     if (!streaming_) {
         const bool first = buffered_.empty();
--- a/Source/Request/CallerSession.h
+++ b/Source/Request/CallerSession.h
@@ -53,7 +53,7 @@
     void flushAnswer();
     void frameReceived(const std::string &content);
     void streamClosed(const StreamEnd &end);
-    void takeChunk(const std::string &bytes);
+    void appendChunk(const std::string &bytes);
     void finishAnswer(bool complete);
     void deadline();
     void cancelStream();
--- a/Source/Request/ConfigurationWait.h
+++ b/Source/Request/ConfigurationWait.h
@@ -15,11 +15,11 @@
 /// @param deadline When the caller no longer waits; unknown where it did not say.
 inline TimePoint waitsForConfigurationUntil(TimePoint arrived, std::optional<TimePoint> deadline)
 {
-    constexpr milliseconds longest{1200};
+    constexpr milliseconds maxWait{1200};
     constexpr int partOfTime = 4;
     if (!deadline)
         return arrived;
-    return arrived + std::min(longest, remaining(arrived, *deadline) / partOfTime);
+    return arrived + std::min(maxWait, remaining(arrived, *deadline) / partOfTime);
 }
 
 } // namespace wisteria
--- a/Source/Request/EntryRequest.cpp
+++ b/Source/Request/EntryRequest.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "Request/KeyHome.h"
+#include "Request/KeyHashing.h"
 #include "Request/RoutingView.h"
 
 namespace wisteria {
@@ -71,8 +71,8 @@
 {
     const Lock lock(shared.mutex);
     const Suspicion suspicion = suspicionOf(shared.suspects, request.request.fingerprint, now);
-    if (suspicion == Suspicion::Convicted)
-        renewConviction(shared.suspects, request.request.fingerprint, now);
+    if (suspicion == Suspicion::Quarantined)
+        renewQuarantine(shared.suspects, request.request.fingerprint, now);
     return suspicion;
 }
 
@@ -113,7 +113,7 @@
 /// Whether this entry may let a suspect through to the home of its key. Homes differ from key to
 /// key, so unlike others these suspects have no one place where their standing is known: one entry
 /// alone lets them through, one at a time, and so learns of a death before the next.
-bool maySendSuspectHome(const EntryState &state, EntryShared &shared, RequestState &request)
+bool maySendSuspectToOwner(const EntryState &state, EntryShared &shared, RequestState &request)
 {
     const std::uint64_t fingerprint = request.request.fingerprint;
     const auto entry = rendezvousChoice(std::to_string(fingerprint), state.entryNames);
@@ -125,22 +125,22 @@
 }
 
 /// Sends a non-idempotent request to the home of its key, and to no other backend server.
-EntryAction sendToHome(EntryState &state, EntryShared &shared, RequestState &request,
-                       const ServiceView &service, TimePoint now)
+EntryAction sendToOwner(EntryState &state, EntryShared &shared, RequestState &request,
+                        const ServiceView &service, TimePoint now)
 {
-    const auto home =
-        rendezvousChoice(canonicalKey(request.request.key), service.declared->homeNames);
-    if (!home)
+    const auto owner =
+        rendezvousChoice(canonicalKey(request.request.key), service.declared->ownerNames);
+    if (!owner)
         return refuseNotRun(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
-    const Candidate *candidate = candidateNamed(service, *home);
+    const Candidate *candidate = candidateNamed(service, *owner);
     // Silence alone may be a long request; nobody else can take this one, so only failures count.
-    if (candidate && (!isAvailable(*candidate) || now < candidate->shunnedUntil)) {
+    if (candidate && (!isAvailable(*candidate) || now < candidate->ejectedUntil)) {
         const auto reason = candidate->leaving ? v1::REASON_LEAVING : v1::REASON_BACKEND_DOWN;
         return refuseNotRun(state, shared, request, reason, longRetry);
     }
-    if (request.runAlone && !maySendSuspectHome(state, shared, request))
+    if (request.runAlone && !maySendSuspectToOwner(state, shared, request))
         return refuseNotRun(state, shared, request, v1::REASON_SUSPECT, longRetry);
-    return sendTo(state, request, *home, service.declared->homes.at(*home), now);
+    return sendTo(state, request, *owner, service.declared->ownerAddresses.at(*owner), now);
 }
 
 /// The backend server on which a suspect runs alone. All entries choose the same one, also while
@@ -150,7 +150,7 @@
                                          TimePoint now)
 {
     std::vector<std::string> names;
-    for (const std::string &name : service.declared->homeNames) {
+    for (const std::string &name : service.declared->ownerNames) {
         const Candidate *candidate = candidateNamed(service, name);
         const bool longDown =
             candidate && candidate->down && now - candidate->downSince > suspectSettleTime;
@@ -169,7 +169,7 @@
     const Candidate *candidate = candidateNamed(service, *chosen);
     if (candidate && !isAvailable(*candidate))
         return refuseNotRun(state, shared, request, v1::REASON_SUSPECT, longRetry);
-    return sendTo(state, request, *chosen, service.declared->homes.at(*chosen), now);
+    return sendTo(state, request, *chosen, service.declared->ownerAddresses.at(*chosen), now);
 }
 
 EntryAction sendByScore(EntryState &state, EntryShared &shared, RequestState &request,
@@ -198,11 +198,11 @@
     if (now >= request.deadline)
         return refuseNotRun(state, shared, request, v1::REASON_DEADLINE, milliseconds(0));
     const Suspicion suspicion = suspicionNow(shared, request, now);
-    if (suspicion == Suspicion::Convicted)
-        return refuseNotRun(state, shared, request, v1::REASON_CONVICTED, convictionTime);
+    if (suspicion == Suspicion::Quarantined)
+        return refuseNotRun(state, shared, request, v1::REASON_CONVICTED, quarantineTime);
     request.runAlone = suspicion == Suspicion::Suspect;
     if (!request.request.idempotent)
-        return sendToHome(state, shared, request, service->second, now);
+        return sendToOwner(state, shared, request, service->second, now);
     if (request.runAlone)
         return sendSuspect(state, shared, request, service->second, now);
     return sendByScore(state, shared, request, service->second, now);
@@ -213,9 +213,9 @@
     const auto service = state.services.find(request.request.service);
     if (service == state.services.end())
         return false;
-    const std::uint32_t most =
+    const std::uint32_t maxAttempts =
         std::max<std::uint32_t>(service->second.declared->policy.max_attempts(), 1);
-    if (request.attempt >= most)
+    if (request.attempt >= maxAttempts)
         return false;
     const Lock lock(shared.mutex);
     return spendRetry(shared.retryBudgets[request.request.service]);
@@ -285,8 +285,8 @@
     return refuse(shared, request, end, verdict.reason(), retryAfter);
 }
 
-EntryAction takeVerdict(EntryState &state, EntryShared &shared, RequestState &request,
-                        const v1::Verdict &verdict, TimePoint now)
+EntryAction applyVerdict(EntryState &state, EntryShared &shared, RequestState &request,
+                         const v1::Verdict &verdict, TimePoint now)
 {
     switch (verdict.kind()) {
     case v1::VERDICT_KIND_ACCEPTED:
@@ -313,8 +313,8 @@
 }
 
 /// An `end` frame: evidence of a death, or an answer that ended before it began.
-EntryAction takeEnd(EntryState &state, EntryShared &shared, RequestState &request,
-                    const v1::AnswerEnd &end, TimePoint now)
+EntryAction applyEnd(EntryState &state, EntryShared &shared, RequestState &request,
+                     const v1::AnswerEnd &end, TimePoint now)
 {
     if (!end.complete() && end.reason() == v1::REASON_BACKEND_DIED)
         witnessDeath(shared, request, now);
@@ -370,8 +370,8 @@
         declared.max_body_bytes() > 0 && caller.bodyBytes > declared.max_body_bytes();
     if (badKey || tooLarge)
         return refuseNotRun(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
-    if (suspicionNow(shared, request, now) == Suspicion::Convicted)
-        return refuseNotRun(state, shared, request, v1::REASON_CONVICTED, convictionTime);
+    if (suspicionNow(shared, request, now) == Suspicion::Quarantined)
+        return refuseNotRun(state, shared, request, v1::REASON_CONVICTED, quarantineTime);
     if (auto refused = refusedByOrganisation(state, shared, request, now))
         return *refused;
     return sendNext(state, shared, request, now);
@@ -396,15 +396,15 @@
     if (Candidate *candidate = candidateOf(state, request)) {
         attemptHeard(*candidate, now);
         if (frame.has_load())
-            takeLoad(*candidate, frame.load(), now);
+            applyLoad(*candidate, frame.load(), now);
     }
     request.answerBytes += frame.chunk().size();
     if (frame.has_end())
-        return takeEnd(state, shared, request, frame.end(), now);
+        return applyEnd(state, shared, request, frame.end(), now);
     // A verdict after the answer began is a duplicate.
     if (!frame.has_verdict() || request.answering)
         return Nothing();
-    return takeVerdict(state, shared, request, frame.verdict(), now);
+    return applyVerdict(state, shared, request, frame.verdict(), now);
 }
 
 bool answerIsWhole(const RequestState &request, const v1::AnswerEnd &end)
--- a/Source/Request/EntryState.h
+++ b/Source/Request/EntryState.h
@@ -12,10 +12,10 @@
 #include "Peer.pb.h"
 #include "Process/Time.h"
 #include "Request/OrganisationLimits.h"
+#include "Request/PoisonRequests.h"
 #include "Request/RequestGuards.h"
 #include "Request/RetryBudget.h"
 #include "Request/Route.h"
-#include "Request/SuspectBook.h"
 #include "Version/ConfigState.h"
 
 namespace wisteria {
@@ -51,9 +51,9 @@
     /// Declared backend servers that are not draining.
     std::vector<v1::BackendServer> servers;
     /// The agents' addresses of `servers`, each of which may be home of a key.
-    std::map<std::string, std::string> homes;
-    /// The names of `homes`, for rendezvous hashing.
-    std::vector<std::string> homeNames;
+    std::map<std::string, std::string> ownerAddresses;
+    /// The names of `ownerAddresses`, for rendezvous hashing.
+    std::vector<std::string> ownerNames;
 };
 
 /// What routing needs of one version of the configuration. Built once and never changed, so that
@@ -97,7 +97,7 @@
     /// The newest version that any thread has built.
     std::shared_ptr<const DeclaredRouting> declared = std::make_shared<DeclaredRouting>();
     OrganisationLimits limits;
-    SuspectBook suspects;
+    PoisonRequests suspects;
     /// Suspected fingerprints of non-idempotent requests that are in flight.
     std::set<std::uint64_t> suspectsInFlight;
     /// Retry budgets by service.
--- a/Source/Request/KeyHome.cpp
+++ b/Source/Request/KeyHashing.cpp
@@ -1,4 +1,4 @@
-#include "Request/KeyHome.h"
+#include "Request/KeyHashing.h"
 
 #include <xxhash.h>
 
--- a/Source/Request/KeyTenure.cpp
+++ b/Source/Request/KeyOwnership.cpp
@@ -1,8 +1,8 @@
-#include "Request/KeyTenure.h"
+#include "Request/KeyOwnership.h"
 
 #include <algorithm>
 
-#include "Request/KeyHome.h"
+#include "Request/KeyHashing.h"
 
 namespace wisteria {
 
@@ -15,13 +15,13 @@
 
 /// Members that may have run keys which are ours in the new version. Rendezvous hashing moves a
 /// key to an old member only when its former home is no longer a member.
-std::vector<Release> releasesWanted(const KeyTenure &tenure,
+std::vector<Release> releasesWanted(const KeyOwnership &ownership,
                                     const std::vector<std::string> &newNames, bool everyMember,
                                     std::uint64_t version)
 {
     std::vector<Release> releases;
-    for (const HomeMember &member : tenure.members) {
-        if (member.name == tenure.ownName)
+    for (const OwnerCandidate &member : ownership.members) {
+        if (member.name == ownership.ownName)
             continue;
         if (everyMember || !contains(newNames, member.name))
             releases.push_back({member, version, std::nullopt});
@@ -40,19 +40,19 @@
     former.erase(former.begin() + 1);
 }
 
-void addFormer(KeyTenure &tenure, FormerSet set)
+void addFormer(KeyOwnership &ownership, FormerSet set)
 {
     if (set.releases.empty())
         return;
-    tenure.former.push_back(std::move(set));
-    if (tenure.former.size() > maxFormerSets)
-        joinOldest(tenure.former);
+    ownership.former.push_back(std::move(set));
+    if (ownership.former.size() > maxFormerSets)
+        joinOldest(ownership.former);
 }
 
-std::vector<std::string> namesOf(const std::vector<HomeMember> &members)
+std::vector<std::string> namesOf(const std::vector<OwnerCandidate> &members)
 {
     std::vector<std::string> names;
-    for (const HomeMember &member : members)
+    for (const OwnerCandidate &member : members)
         names.push_back(member.name);
     return names;
 }
@@ -68,15 +68,15 @@
     return KeyRight::Mine;
 }
 
-KeyRight rightAfter(const FormerSet &set, const KeyTenure &tenure, std::string_view key,
+KeyRight rightAfter(const FormerSet &set, const KeyOwnership &ownership, std::string_view key,
                     WallTime time)
 {
     KeyRight right = KeyRight::Mine;
-    const auto home = set.anyMember ? std::nullopt : rendezvousChoice(key, set.names);
-    if (home && *home == tenure.ownName)
+    const auto owner = set.anyMember ? std::nullopt : rendezvousChoice(key, set.names);
+    if (owner && *owner == ownership.ownName)
         return right;
     for (const Release &release : set.releases) {
-        if (home && release.member.name != *home)
+        if (owner && release.member.name != *owner)
             continue;
         const KeyRight after = rightAfter(release, time);
         if (after == KeyRight::Unproven)
@@ -89,37 +89,38 @@
 
 } // namespace
 
-void setHomes(KeyTenure &tenure, const std::vector<HomeMember> &members, std::uint64_t version,
-              bool everyVersionSeen)
+void setOwnerCandidates(KeyOwnership &ownership, const std::vector<OwnerCandidate> &members,
+                        std::uint64_t version, bool everyVersionSeen)
 {
     const std::vector<std::string> newNames = namesOf(members);
-    if (!tenure.begun || !everyVersionSeen) {
+    if (!ownership.begun || !everyVersionSeen) {
         // What was declared before is not known: any declared member may have been the home.
-        tenure.members = members;
-        addFormer(tenure, {{}, true, releasesWanted(tenure, newNames, true, version)});
+        ownership.members = members;
+        addFormer(ownership, {{}, true, releasesWanted(ownership, newNames, true, version)});
     } else {
-        const bool wasMember = contains(tenure.names, tenure.ownName);
-        addFormer(tenure,
-                  {tenure.names, false, releasesWanted(tenure, newNames, !wasMember, version)});
+        const bool wasMember = contains(ownership.names, ownership.ownName);
+        addFormer(
+            ownership,
+            {ownership.names, false, releasesWanted(ownership, newNames, !wasMember, version)});
     }
-    tenure.members = members;
-    tenure.names = newNames;
-    tenure.begun = true;
+    ownership.members = members;
+    ownership.names = newNames;
+    ownership.begun = true;
 }
 
-bool isHome(const KeyTenure &tenure, std::string_view key)
+bool isOwner(const KeyOwnership &ownership, std::string_view key)
 {
-    const auto home = rendezvousChoice(key, tenure.names);
-    return home && *home == tenure.ownName;
+    const auto owner = rendezvousChoice(key, ownership.names);
+    return owner && *owner == ownership.ownName;
 }
 
-KeyRight rightTo(const KeyTenure &tenure, std::string_view key, WallTime time)
+KeyRight rightTo(const KeyOwnership &ownership, std::string_view key, WallTime time)
 {
-    if (!isHome(tenure, key))
-        return KeyRight::NotHome;
+    if (!isOwner(ownership, key))
+        return KeyRight::NotOwner;
     KeyRight right = KeyRight::Mine;
-    for (const FormerSet &set : tenure.former) {
-        const KeyRight after = rightAfter(set, tenure, key, time);
+    for (const FormerSet &set : ownership.former) {
+        const KeyRight after = rightAfter(set, ownership, key, time);
         if (after == KeyRight::Unproven)
             return after;
         if (after == KeyRight::TooOld)
@@ -128,15 +129,15 @@
     return right;
 }
 
-std::vector<HandoverWanted> pendingReleases(const KeyTenure &tenure)
+std::vector<HandoverWanted> pendingReleases(const KeyOwnership &ownership)
 {
     std::vector<HandoverWanted> wanted;
-    for (const FormerSet &set : tenure.former) {
+    for (const FormerSet &set : ownership.former) {
         for (const Release &release : set.releases) {
             if (release.releasedAt)
                 continue;
             v1::KeyHandover message;
-            message.set_service(tenure.service);
+            message.set_service(ownership.service);
             message.set_config_version(release.version);
             wanted.push_back(
                 {release.member.name, release.member.address, release.member.vm, message});
@@ -145,21 +146,21 @@
     return wanted;
 }
 
-void released(KeyTenure &tenure, const std::string &formerHome, std::uint64_t version,
+void released(KeyOwnership &ownership, const std::string &formerOwner, std::uint64_t version,
               WallTime wall)
 {
-    for (FormerSet &set : tenure.former) {
+    for (FormerSet &set : ownership.former) {
         for (Release &release : set.releases) {
-            const bool covered = release.member.name == formerHome && release.version <= version;
+            const bool covered = release.member.name == formerOwner && release.version <= version;
             if (covered && !release.releasedAt)
                 release.releasedAt = wall;
         }
     }
 }
 
-void releasedByVm(KeyTenure &tenure, const std::string &vm, WallTime wall)
+void releasedByVm(KeyOwnership &ownership, const std::string &vm, WallTime wall)
 {
-    for (FormerSet &set : tenure.former) {
+    for (FormerSet &set : ownership.former) {
         for (Release &release : set.releases) {
             if (release.member.vm == vm && !release.releasedAt)
                 release.releasedAt = wall;
--- a/Source/Request/OrganisationLimits.cpp
+++ b/Source/Request/OrganisationLimits.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "Request/KeyHome.h"
+#include "Request/KeyHashing.h"
 
 namespace wisteria {
 
--- a/Source/Request/SuspectBook.cpp
+++ b/Source/Request/PoisonRequests.cpp
@@ -1,4 +1,4 @@
-#include "Request/SuspectBook.h"
+#include "Request/PoisonRequests.h"
 
 #include <algorithm>
 
@@ -12,21 +12,21 @@
                           record.deaths.end());
 }
 
-void makeRoom(SuspectBook &book)
+void makeRoom(PoisonRequests &requests)
 {
-    if (book.records.size() < maxSuspects)
+    if (requests.records.size() < maxSuspects)
         return;
     const auto soonest = std::min_element(
-        book.records.begin(), book.records.end(),
+        requests.records.begin(), requests.records.end(),
         [](const auto &a, const auto &b) { return a.second.forgetAt < b.second.forgetAt; });
-    book.records.erase(soonest);
+    requests.records.erase(soonest);
 }
 
-SuspectRecord &recordOf(SuspectBook &book, std::uint64_t fingerprint)
+SuspectRecord &recordOf(PoisonRequests &requests, std::uint64_t fingerprint)
 {
-    if (!book.records.contains(fingerprint))
-        makeRoom(book);
-    return book.records[fingerprint];
+    if (!requests.records.contains(fingerprint))
+        makeRoom(requests);
+    return requests.records[fingerprint];
 }
 
 /// Adds a death. When there are too many to tell apart, an open one stands for the new one too, and
@@ -47,8 +47,8 @@
 
 ReportedStanding standingOf(const SuspectRecord &record)
 {
-    if (record.convicted)
-        return ReportedStanding::Convicted;
+    if (record.quarantined)
+        return ReportedStanding::Quarantined;
     return hasOpenDeath(record) ? ReportedStanding::Suspect : ReportedStanding::Cleared;
 }
 
@@ -67,66 +67,66 @@
 
 } // namespace
 
-Suspicion suspicionOf(const SuspectBook &book, std::uint64_t fingerprint, TimePoint now)
+Suspicion suspicionOf(const PoisonRequests &requests, std::uint64_t fingerprint, TimePoint now)
 {
-    const auto found = book.records.find(fingerprint);
-    if (found == book.records.end() || found->second.forgetAt <= now)
+    const auto found = requests.records.find(fingerprint);
+    if (found == requests.records.end() || found->second.forgetAt <= now)
         return Suspicion::None;
-    if (found->second.convicted)
-        return Suspicion::Convicted;
+    if (found->second.quarantined)
+        return Suspicion::Quarantined;
     return hasOpenDeath(found->second) ? Suspicion::Suspect : Suspicion::None;
 }
 
-void recordDeath(SuspectBook &book, std::uint64_t fingerprint, std::uint64_t death, bool alone,
-                 TimePoint now)
+void recordDeath(PoisonRequests &requests, std::uint64_t fingerprint, std::uint64_t death,
+                 bool alone, TimePoint now)
 {
-    forgetSuspects(book, now);
-    SuspectRecord &record = recordOf(book, fingerprint);
+    forgetSuspects(requests, now);
+    SuspectRecord &record = recordOf(requests, fingerprint);
     addDeath(record, death);
-    record.convicted = record.convicted || alone;
-    const seconds holds = record.convicted ? convictionTime : suspicionTime;
+    record.quarantined = record.quarantined || alone;
+    const seconds holds = record.quarantined ? quarantineTime : suspicionTime;
     record.forgetAt = std::max(record.forgetAt, now + holds);
 }
 
-void renewConviction(SuspectBook &book, std::uint64_t fingerprint, TimePoint now)
+void renewQuarantine(PoisonRequests &requests, std::uint64_t fingerprint, TimePoint now)
 {
-    const auto found = book.records.find(fingerprint);
-    if (found != book.records.end() && found->second.convicted)
-        found->second.forgetAt = std::max(found->second.forgetAt, now + convictionTime);
+    const auto found = requests.records.find(fingerprint);
+    if (found != requests.records.end() && found->second.quarantined)
+        found->second.forgetAt = std::max(found->second.forgetAt, now + quarantineTime);
 }
 
-void recordGoodRun(SuspectBook &book, std::uint64_t fingerprint)
+void recordGoodRun(PoisonRequests &requests, std::uint64_t fingerprint)
 {
-    const auto found = book.records.find(fingerprint);
-    if (found == book.records.end())
+    const auto found = requests.records.find(fingerprint);
+    if (found == requests.records.end())
         return;
     found->second.cleared.insert(found->second.deaths.begin(), found->second.deaths.end());
 }
 
-void mergeSuspectReport(SuspectBook &book, const v1::SuspectReport &report, TimePoint now)
+void mergeSuspectReport(PoisonRequests &requests, const v1::SuspectReport &report, TimePoint now)
 {
     if (report.remaining_ms() == 0)
         return;
-    forgetSuspects(book, now);
-    SuspectRecord &record = recordOf(book, report.fingerprint());
+    forgetSuspects(requests, now);
+    SuspectRecord &record = recordOf(requests, report.fingerprint());
     const auto standing = static_cast<ReportedStanding>(report.deaths());
     for (const std::uint64_t death : report.death_ids()) {
         addDeath(record, death);
         if (standing == ReportedStanding::Cleared && record.deaths.contains(death))
             record.cleared.insert(death);
     }
-    if (standing == ReportedStanding::Convicted)
-        record.convicted = true;
+    if (standing == ReportedStanding::Quarantined)
+        record.quarantined = true;
     // A peer can't prolong a suspicion beyond what its own evidence would give.
     const milliseconds holds =
-        std::min<milliseconds>(milliseconds(report.remaining_ms()), convictionTime);
+        std::min<milliseconds>(milliseconds(report.remaining_ms()), quarantineTime);
     record.forgetAt = std::max(record.forgetAt, now + holds);
 }
 
-std::vector<v1::SuspectReport> suspectReports(const SuspectBook &book, TimePoint now)
+std::vector<v1::SuspectReport> suspectReports(const PoisonRequests &requests, TimePoint now)
 {
     std::vector<v1::SuspectReport> reports;
-    for (const auto &[fingerprint, record] : book.records) {
+    for (const auto &[fingerprint, record] : requests.records) {
         if (record.forgetAt > now)
             reports.push_back(reportOf(fingerprint, record, now));
     }
@@ -140,9 +140,10 @@
     return reports;
 }
 
-void forgetSuspects(SuspectBook &book, TimePoint now)
+void forgetSuspects(PoisonRequests &requests, TimePoint now)
 {
-    std::erase_if(book.records, [now](const auto &item) { return item.second.forgetAt <= now; });
+    std::erase_if(requests.records,
+                  [now](const auto &item) { return item.second.forgetAt <= now; });
 }
 
 } // namespace wisteria
--- a/Source/Request/RequestGuards.h
+++ b/Source/Request/RequestGuards.h
@@ -13,13 +13,13 @@
     /// Entry and agent say NOT_RUN of a repeated key only when the key's home vouches for it.
     bool repeatsNeedProof = true;
     /// Agent runs only keys whose home it is.
-    bool homeOnly = true;
+    bool ownerOnly = true;
     /// Agent remembers the keys that it ran.
     bool keyMemory = true;
     /// Agent refuses keys that an earlier incarnation may have run.
     bool keyFloor = true;
     /// Agent refuses keys of a former home that has not released them.
-    bool tenure = true;
+    bool ownership = true;
     /// Agent never runs a try of a key older than one that it refused.
     bool refusedTries = true;
     /// Agent refuses what is past its deadline instead of running it.
--- a/Source/Request/Route.cpp
+++ b/Source/Request/Route.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <utility>
 
-#include "Request/KeyHome.h"
+#include "Request/KeyHashing.h"
 
 namespace wisteria {
 
@@ -69,12 +69,12 @@
     return best;
 }
 
-milliseconds shunTime(std::uint32_t failures)
+milliseconds ejectionTime(std::uint32_t failures)
 {
-    milliseconds time = firstShun;
-    for (std::uint32_t i = shunAfterFailures; i < failures && time < longestShun; ++i)
+    milliseconds time = minEjection;
+    for (std::uint32_t i = ejectAfterFailures; i < failures && time < maxEjection; ++i)
         time *= 2;
-    return std::min(time, longestShun);
+    return std::min(time, maxEjection);
 }
 
 bool isStalled(const Candidate &candidate, TimePoint now)
@@ -94,10 +94,10 @@
 
 bool mayBeAsked(const Candidate &candidate, TimePoint now)
 {
-    if (!isAvailable(candidate) || now < candidate.shunnedUntil)
+    if (!isAvailable(candidate) || now < candidate.ejectedUntil)
         return false;
     // After a shun one attempt probes; others wait for its end.
-    const bool probing = candidate.failures >= shunAfterFailures && candidate.outstanding > 0;
+    const bool probing = candidate.failures >= ejectAfterFailures && candidate.outstanding > 0;
     return !probing && !isStalled(candidate, now);
 }
 
@@ -170,8 +170,8 @@
         return;
     }
     ++candidate.failures;
-    if (candidate.failures >= shunAfterFailures)
-        candidate.shunnedUntil = now + shunTime(candidate.failures);
+    if (candidate.failures >= ejectAfterFailures)
+        candidate.ejectedUntil = now + ejectionTime(candidate.failures);
 }
 
 std::vector<v1::BackendServer> subsetOf(std::vector<v1::BackendServer> servers,
--- a/Source/Request/Route.h
+++ b/Source/Request/Route.h
@@ -37,7 +37,7 @@
     /// Attempts in a row that timed out or were lost.
     std::uint32_t failures = 0;
     /// Not asked before then, except that one attempt probes it afterwards.
-    TimePoint shunnedUntil;
+    TimePoint ejectedUntil;
     /// When the oldest attempt that saw no frame since was sent.
     std::optional<TimePoint> silentSince;
 };
@@ -55,10 +55,10 @@
 };
 
 /// Attempts in a row without an answer after which a backend server is shunned.
-constexpr std::uint32_t shunAfterFailures = 2;
+constexpr std::uint32_t ejectAfterFailures = 2;
 /// First and longest time for which a backend server is shunned; doubles in between.
-constexpr milliseconds firstShun{500};
-constexpr milliseconds longestShun{16'000};
+constexpr milliseconds minEjection{500};
+constexpr milliseconds maxEjection{16'000};
 /// Silence, beyond several service times, after which a backend server counts as stalled.
 constexpr milliseconds stalledAfter{1'000};
 constexpr int stalledServiceTimes = 8;
--- a/Source/Request/RoutingView.cpp
+++ b/Source/Request/RoutingView.cpp
@@ -87,8 +87,8 @@
     declared.policy = policyOf(config, service);
     declared.servers = serversOf(config, service.name());
     for (const v1::BackendServer &server : declared.servers) {
-        declared.homes[server.name()] = server.agent_address();
-        declared.homeNames.push_back(server.name());
+        declared.ownerAddresses[server.name()] = server.agent_address();
+        declared.ownerNames.push_back(server.name());
     }
     return declared;
 }
@@ -174,7 +174,7 @@
     candidate.down = down;
 }
 
-void takeLoad(Candidate &candidate, const v1::LoadReport &load, TimePoint now)
+void applyLoad(Candidate &candidate, const v1::LoadReport &load, TimePoint now)
 {
     candidate.running = load.running();
     candidate.queued = load.queued();
@@ -218,7 +218,7 @@
                  std::uint64_t, TimePoint now)
 {
     forCandidates(state, backendServer,
-                  [&load, now](Candidate &candidate) { takeLoad(candidate, load, now); });
+                  [&load, now](Candidate &candidate) { applyLoad(candidate, load, now); });
 }
 
 void observeUnreachable(EntryState &state, const std::string &backendServer, TimePoint now)
@@ -258,9 +258,9 @@
 std::string agentAddress(const EntryState &state, const std::string &backendServer)
 {
     for (const auto &[name, service] : state.declared->services) {
-        const auto home = service.homes.find(backendServer);
-        if (home != service.homes.end())
-            return home->second;
+        const auto owner = service.ownerAddresses.find(backendServer);
+        if (owner != service.ownerAddresses.end())
+            return owner->second;
     }
     return {};
 }
--- a/Source/Request/RoutingView.h
+++ b/Source/Request/RoutingView.h
@@ -13,7 +13,7 @@
 Candidate *findCandidate(EntryState &state, const std::string &service, const std::string &name);
 
 /// Takes a load report into a belief.
-void takeLoad(Candidate &candidate, const v1::LoadReport &load, TimePoint now);
+void applyLoad(Candidate &candidate, const v1::LoadReport &load, TimePoint now);
 
 /// Takes a sign that the backend server can or can't run anything.
 void setDown(Candidate &candidate, bool down, TimePoint now);
--- a/Source/Request/ServerLimit.cpp
+++ b/Source/Request/ServerLimit.cpp
@@ -15,13 +15,13 @@
 /// Time for an answer of the keeper, after which it is asked again.
 constexpr milliseconds answerTime{100};
 /// Pauses between two questions of one gateway about one server that has no request to grant.
-constexpr milliseconds leastPause{25};
-constexpr milliseconds longestPause{250};
+constexpr milliseconds minPause{25};
+constexpr milliseconds maxPause{250};
 /// Requests that are granted at once after a time without any.
 constexpr double burst = 2;
 /// Requests a second that are granted whatever the limit: one that is none would never be known to
 /// have ended.
-constexpr double leastPerSecond = 0.2;
+constexpr double minPerSecond = 0.2;
 /// Without a question for this long nobody waits for a permit.
 constexpr milliseconds quietAfter{1000};
 constexpr std::chrono::minutes advertisedLimitLifetime{5};
@@ -56,7 +56,7 @@
         .server = request.server, .number = request.number, .advertised = owned.advertised};
     if (!owned.advertised.perSecond)
         return reply;
-    const double perSecond = std::max(leastPerSecond, *owned.advertised.perSecond) * share;
+    const double perSecond = std::max(minPerSecond, *owned.advertised.perSecond) * share;
     refill(owned, perSecond, now);
     reply.granted = request.wanted && owned.tokens >= 1;
     if (reply.granted)
@@ -148,7 +148,7 @@
         return ended;
     limit.awaitingReply = false;
     limit.nextPermitAt = now + reply.nextIn;
-    limit.nextRequestAt = now + std::clamp(reply.nextIn, leastPause, longestPause);
+    limit.nextRequestAt = now + std::clamp(reply.nextIn, minPause, maxPause);
     if (reply.granted) {
         limit.permits = 1;
         limit.wantedUntil = TimePoint();
--- a/Source/Version/DemandPlacement.cpp
+++ b/Source/Version/DemandPlacement.cpp
@@ -16,7 +16,7 @@
 constexpr milliseconds decayTime{1000};
 /// Counts of a set below which its demand is too uncertain to act on: the noise of one expert's
 /// count is then still a tenth of it.
-constexpr double leastCounts = 4000;
+constexpr double minCounts = 4000;
 /// Terms that one set's search may evaluate: it ends within the time of a pass.
 constexpr std::uint64_t searchTerms = 300000;
 /// Ranks that each step of the search may move experts to. The busiest one's work goes to the
@@ -170,7 +170,7 @@
     if (demand.loads.size() != sets || sets == 0)
         return false;
     return std::all_of(demand.loads.begin(), demand.loads.end(),
-                       [](const auto &loads) { return sumOf(loads) >= leastCounts; });
+                       [](const auto &loads) { return sumOf(loads) >= minCounts; });
 }
 
 } // namespace
--- a/Source/Version/EntryMembers.cpp
+++ b/Source/Version/EntryMembers.cpp
@@ -13,7 +13,7 @@
     return known != members.members.end() && known->second.incarnation > record.incarnation();
 }
 
-void takeRecord(EntryMembers &members, const LogRecord &raw, TimePoint now)
+void applyRecord(EntryMembers &members, const LogRecord &raw, TimePoint now)
 {
     v1::EntryMemberRecord record;
     if (!record.ParseFromString(raw.data) || isOutdated(members, record))
@@ -43,7 +43,7 @@
 
 } // namespace
 
-bool takeMembers(EntryMembers &members, const LogBatch &batch, TimePoint now)
+bool updateMembers(EntryMembers &members, const LogBatch &batch, TimePoint now)
 {
     const auto before = addresses(members);
     // After an outage every entry gets the time for a record before it counts as silent.
@@ -56,7 +56,7 @@
         if (record.offset <= members.position)
             continue;
         members.position = record.offset;
-        takeRecord(members, record, now);
+        applyRecord(members, record, now);
     }
     dropSilent(members);
     return addresses(members) != before;
--- a/Source/Version/EntryMembers.h
+++ b/Source/Version/EntryMembers.h
@@ -37,7 +37,7 @@
 
 /// Takes in what one read of the stream gave, and drops entries that went silent or said goodbye.
 /// @return Whether the set of names or addresses changed.
-bool takeMembers(EntryMembers &members, const LogBatch &batch, TimePoint now);
+bool updateMembers(EntryMembers &members, const LogBatch &batch, TimePoint now);
 
 /// Names of the present entries, sorted.
 std::vector<std::string> memberNames(const EntryMembers &members);
--- a/Source/Version/LayerSearch.cpp
+++ b/Source/Version/LayerSearch.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 /// Bounds of the sharpness k. Below, the bound is loose; above, it is the plain maximum.
-constexpr double leastSharpness = 20;
-constexpr double mostSharpness = 300;
+constexpr double minSharpness = 20;
+constexpr double maxSharpness = 300;
 /// Largest argument of the exponential; its sum over all ranks stays finite.
-constexpr double largestExponent = 600;
+constexpr double maxExponent = 600;
 
 /// Loads scaled so that a balanced group's time is 1.
 std::vector<double> scaledLoads(const RankGroup &group, const std::vector<double> &loads)
@@ -97,13 +97,13 @@
 {
     const double ranks = static_cast<double>(mean_.size());
     const double variance = std::accumulate(variance_.begin(), variance_.end(), 0.0) / ranks;
-    sharpness_ = mostSharpness;
+    sharpness_ = maxSharpness;
     if (variance > 0) {
         const double tightest = std::sqrt(2 * std::log(std::max(ranks, 2.0)) / variance);
-        sharpness_ = std::clamp(tightest, leastSharpness, mostSharpness);
+        sharpness_ = std::clamp(tightest, minSharpness, maxSharpness);
     }
     for (std::size_t rank = 0; rank < mean_.size(); ++rank) {
-        while (exponent(mean_[rank], variance_[rank]) > largestExponent)
+        while (exponent(mean_[rank], variance_[rank]) > maxExponent)
             sharpness_ /= 2;
     }
 }
@@ -292,7 +292,7 @@
     holders_[expert].push_back(rank);
 }
 
-void LayerSearch::take(const SearchStep &step)
+void LayerSearch::apply(const SearchStep &step)
 {
     if (step.isExchange()) {
         const ExpertId given = map_.ranks[step.rank][step.slot];
--- a/Source/Version/LayerSearch.h
+++ b/Source/Version/LayerSearch.h
@@ -53,7 +53,7 @@
     const std::vector<SearchStep> &scan();
 
     /// Changes the map by a step.
-    void take(const SearchStep &step);
+    void apply(const SearchStep &step);
 
 private:
     bool holds(std::size_t rank, ExpertId expert) const { return held_[index(rank, expert)]; }
--- a/Source/Version/Placement.cpp
+++ b/Source/Version/Placement.cpp
@@ -59,8 +59,9 @@
         const std::uint64_t fitting = group.ranks[rank].memoryBytes / group.expertBytes;
         const std::uint64_t free = fitting > held ? fitting - held : 0;
         const bool unbounded = group.ranks[rank].memoryBytes == 0;
-        constexpr std::uint64_t most = std::numeric_limits<std::uint32_t>::max();
-        capacity[rank] = static_cast<std::uint32_t>(unbounded ? most : std::min(free, most));
+        constexpr std::uint64_t maxReplicas = std::numeric_limits<std::uint32_t>::max();
+        capacity[rank] =
+            static_cast<std::uint32_t>(unbounded ? maxReplicas : std::min(free, maxReplicas));
     }
     return capacity;
 }
@@ -172,7 +173,7 @@
     return state;
 }
 
-Result<void> takeLoadReport(const RankGroup &group, PlacementState &state, const LoadReport &report)
+Result<void> addLoadReport(const RankGroup &group, PlacementState &state, const LoadReport &report)
 {
     if (report.layer >= state.layers.size()) {
         return failure(ErrorKind::BadInput,
--- a/Source/Version/Placement.h
+++ b/Source/Version/Placement.h
@@ -106,8 +106,7 @@
 
 /// Takes in a load report.
 /// @return BadInput for a report that does not fit the group; the state is then unchanged.
-Result<void> takeLoadReport(const RankGroup &group, PlacementState &state,
-                            const LoadReport &report);
+Result<void> addLoadReport(const RankGroup &group, PlacementState &state, const LoadReport &report);
 
 /// Decides on new maps. After a decision that moves, every layer stays until switchDone().
 PlacementDecision decidePlacement(PlacementPolicy policy, const RankGroup &group,
--- a/Source/Version/PlacementEstimate.cpp
+++ b/Source/Version/PlacementEstimate.cpp
@@ -22,11 +22,11 @@
 constexpr std::uint32_t reportsToSettle = 6;
 /// Relative noise is taken to be at least this, so that silent traces don't make every change a
 /// jump.
-constexpr double leastNoise = 0.01;
+constexpr double minNoise = 0.01;
 /// Weight of the newest interval in the usual interval.
 constexpr int intervalWeight = 8;
 /// Reports that a horizon spans at most.
-constexpr double longestHorizonReports = 400;
+constexpr double maxHorizonReports = 400;
 
 Result<std::vector<double>> sharesOf(const LoadReport &report, std::uint32_t experts)
 {
@@ -97,7 +97,7 @@
 /// expert alone would make up most of it.
 double weighedSquare(double share, double level, std::size_t experts)
 {
-    const double floor = leastNoise / static_cast<double>(experts);
+    const double floor = minNoise / static_cast<double>(experts);
     const double difference = share - level;
     return difference * difference / (level + floor);
 }
@@ -106,8 +106,8 @@
 /// rank that holds the expert would be the straggler for all of them.
 bool hasJumped(LoadEstimate &estimate, std::size_t expert, double share, double level)
 {
-    const double deviation = std::max(std::sqrt(estimate.noise), leastNoise) * level;
-    const double floor = leastNoise / static_cast<double>(estimate.reportsOf.size());
+    const double deviation = std::max(std::sqrt(estimate.noise), minNoise) * level;
+    const double floor = minNoise / static_cast<double>(estimate.reportsOf.size());
     const double deviations = (share - level) / (deviation + floor);
     int sign = 0;
     if (std::abs(deviations) > surprisingDeviations)
@@ -224,7 +224,7 @@
     forecast.settled = *fewest >= reportsToSettle;
     // A random walk that is followed best with gain g moves by g standard deviations of the noise a
     // report, so it has moved by one of them after 1/g^2 reports.
-    const double reports = std::min(longestHorizonReports, 1.0 / (gain * gain));
+    const double reports = std::min(maxHorizonReports, 1.0 / (gain * gain));
     const double horizon = reports * static_cast<double>(estimate.interval.count());
     forecast.horizon = milliseconds(static_cast<milliseconds::rep>(horizon));
     return forecast;
--- a/Source/Version/PlacementGreedy.cpp
+++ b/Source/Version/PlacementGreedy.cpp
@@ -128,11 +128,11 @@
 LayerMap stickyLayerMap(const RankGroup &group, const std::vector<double> &loads,
                         const LayerMap &current, double ceiling)
 {
-    const double most = ceiling * balancedTime(group, loads);
+    const double maxTime = ceiling * balancedTime(group, loads);
     Packing packing(group, loads);
     for (const ExpertId expert : packing.replicasBySize()) {
         auto rank = packing.leastBusyRank(expert, &current);
-        if (!rank || packing.timeWith(*rank, expert) > most)
+        if (!rank || packing.timeWith(*rank, expert) > maxTime)
             rank = packing.leastBusyRank(expert, nullptr);
         if (rank)
             packing.put(*rank, expert);
--- a/Source/Version/PlacementSearch.cpp
+++ b/Source/Version/PlacementSearch.cpp
@@ -41,7 +41,7 @@
     const std::size_t width = std::min(lookAheadWidth, firstSteps.size());
     for (std::size_t i = 0; i < width; ++i) {
         LayerSearch ahead = search;
-        ahead.take(firstSteps[i]);
+        ahead.apply(firstSteps[i]);
         const std::vector<SearchStep> &secondSteps = ahead.scan();
         if (secondSteps.empty())
             continue;
@@ -93,7 +93,7 @@
         if (!pays(plan, limits))
             break;
         for (const SearchStep &step : plan.steps)
-            search.take(step);
+            search.apply(step);
         if (countMoves(current, search.map()) > limits.maxMoves)
             break;
         result.map = search.map();
--- a/Source/Version/RankSwitch.h
+++ b/Source/Version/RankSwitch.h
@@ -44,7 +44,7 @@
     milliseconds orderDirectlyAfter{150};
     /// With more silent ranks than this it is the leader that hears nobody: orders of its own to
     /// each engine would add to what its link and its processor are behind with.
-    std::size_t orderDirectlyAtMost = 8;
+    std::size_t maxDirectlyOrdered = 8;
     /// Passes between the last one seen and the one at which the group switches. The hold must
     /// reach its rank before that pass begins; an order takes less than a pass.
     std::uint64_t passesAhead = 2;
--- a/Source/Version/RelayPlan.h
+++ b/Source/Version/RelayPlan.h
@@ -27,7 +27,7 @@
 /// relays pay although each stage adds its way and its processing.
 constexpr milliseconds linkTimePerStage{16};
 /// Branches at least, however large the message: with fewer the stages become too many.
-constexpr std::size_t leastBranches = 5;
+constexpr std::size_t minBranches = 5;
 /// So many receivers for each branch still get the message directly; one more stage would take
 /// longer.
 constexpr std::size_t directPerBranch = 2;
@@ -47,7 +47,7 @@
         bandwidth.bytesPerMillisecond * static_cast<double>(linkTimePerStage.count());
     const double bytes = static_cast<double>(std::max<std::size_t>(messageBytes, 1));
     const auto fitting = static_cast<std::size_t>(inTime / bytes);
-    const std::size_t branches = std::max(leastBranches, fitting);
+    const std::size_t branches = std::max(minBranches, fitting);
     return receivers <= branches * directPerBranch ? receivers : branches;
 }
 
--- a/Source/Version/SwitchOrders.cpp
+++ b/Source/Version/SwitchOrders.cpp
@@ -23,14 +23,14 @@
 milliseconds pauseBefore(const GroupSwitch &group, const SwitchTiming &timing, const RankView &view,
                          const RankOrder &order, std::uint32_t timesRequested)
 {
-    constexpr std::uint32_t doublingsAtMost = 3;
+    constexpr std::uint32_t maxDoublings = 3;
     const bool prepares = order.kind == RankOrderKind::Prepare;
     const bool small = group.phase == SwitchPhase::Recovering && asChanges(group, view);
     if (!prepares || small)
         return timing.resend;
     if (view.status.accepted == order.version)
         return timing.resendAcceptedMap;
-    return timing.resendMap * (1 << std::min(timesRequested - 1, doublingsAtMost));
+    return timing.resendMap * (1 << std::min(timesRequested - 1, maxDoublings));
 }
 
 /// Whether the sidecar beside the rank is silent while most others are heard.
@@ -38,7 +38,7 @@
                    TimePoint now)
 {
     return now - view.receivedAt > timing.orderDirectlyAfter
-        && unresponsiveRanks(group, timing.orderDirectlyAfter, now) <= timing.orderDirectlyAtMost;
+        && unresponsiveRanks(group, timing.orderDirectlyAfter, now) <= timing.maxDirectlyOrdered;
 }
 
 } // namespace
--- a/Source/Version/VmList.cpp
+++ b/Source/Version/VmList.cpp
@@ -23,7 +23,7 @@
     return list;
 }
 
-void takeVmList(VmView &view, const std::map<std::string, VmState> &list, TimePoint now)
+void updateVmList(VmView &view, const std::map<std::string, VmState> &list, TimePoint now)
 {
     if (!view.any)
         view.firstList = now;
--- a/Source/Version/VmList.h
+++ b/Source/Version/VmList.h
@@ -35,7 +35,7 @@
 Result<std::map<std::string, VmState>> parseVmList(const std::string &body);
 
 /// Takes in a list.
-void takeVmList(VmView &view, const std::map<std::string, VmState> &list, TimePoint now);
+void updateVmList(VmView &view, const std::map<std::string, VmState> &list, TimePoint now);
 
 /// Whether the VM is proved to be gone, so that nothing runs on it any more.
 bool isVmGone(const VmView &view, const std::string &vm);
--- a/Tests/Gateway/DecisionsTest.cpp
+++ b/Tests/Gateway/DecisionsTest.cpp
@@ -2,7 +2,7 @@
 
 #include "Process/EventLog.h"
 #include "Programs/Gateway/BackendList.h"
-#include "Programs/Gateway/StorePacing.h"
+#include "Programs/Gateway/StorePolling.h"
 #include "Request/AdmissionTimeouts.h"
 #include "Request/BackendRegistry.h"
 #include "Request/EventSplitter.h"
@@ -247,14 +247,14 @@
     BackendRegistry registry;
     EventLog log("test", {.least = LogLevel::Error});
     BackendList list(registry, log, readPause);
-    list.take({"i-1", entryText("ready"), 0}, start);
-    list.take({"i-2", entryText("ready"), 1}, start);
-    list.storeRegained(start + seconds(5));
-    list.take({"i-1", "", 2}, start + seconds(5));
-    list.take({"i-2", "", 3}, start + seconds(5));
+    list.apply({"i-1", entryText("ready"), 0}, start);
+    list.apply({"i-2", entryText("ready"), 1}, start);
+    list.storeReconnected(start + seconds(5));
+    list.apply({"i-1", "", 2}, start + seconds(5));
+    list.apply({"i-2", "", 3}, start + seconds(5));
     REQUIRE(registry.backends.size() == 2);
-    list.take({"i-1", entryText("ready"), 4}, start + seconds(6));
-    list.checkTime(start + milliseconds(7400));
+    list.apply({"i-1", entryText("ready"), 4}, start + seconds(6));
+    list.checkTimeouts(start + milliseconds(7400));
     REQUIRE(registry.backends.contains("i-1"));
     REQUIRE_FALSE(registry.backends.contains("i-2"));
 }
@@ -267,15 +267,15 @@
     EventLog log("test", {.least = LogLevel::Error});
     constexpr milliseconds pause{1800};
     BackendList list(registry, log, pause);
-    list.take({"i-1", entryText("ready"), 0}, start);
-    list.storeRegained(start);
-    list.take({"i-1", "", 1}, start);
+    list.apply({"i-1", entryText("ready"), 0}, start);
+    list.storeReconnected(start);
+    list.apply({"i-1", "", 1}, start);
     // Read at 1.8 s, when the entry was not back yet, and again at 3.6 s.
     for (milliseconds at{0}; at <= 2 * pause; at += milliseconds(25))
-        list.checkTime(start + at);
-    list.take({"i-1", entryText("ready"), 2}, start + 2 * pause);
+        list.checkTimeouts(start + at);
+    list.apply({"i-1", entryText("ready"), 2}, start + 2 * pause);
     REQUIRE(registry.backends.contains("i-1"));
-    list.checkTime(start + seconds(5));
+    list.checkTimeouts(start + seconds(5));
     REQUIRE(registry.backends.contains("i-1"));
 }
 
@@ -284,10 +284,10 @@
     BackendRegistry registry;
     EventLog log("test", {.least = LogLevel::Error});
     BackendList list(registry, log, readPause);
-    list.takeAll({{"i-1", entryText("ready"), 0}, {"i-2", entryText("ready"), 1}}, start);
-    list.take({"i-1", "{\"service\":7}", 2}, start);
+    list.applyAll({{"i-1", entryText("ready"), 0}, {"i-2", entryText("ready"), 1}}, start);
+    list.apply({"i-1", "{\"service\":7}", 2}, start);
     REQUIRE_FALSE(registry.backends.contains("i-1"));
-    list.take({"i-2", entryText("draining"), 3}, start);
+    list.apply({"i-2", entryText("draining"), 3}, start);
     const BackendCriteria criteria{.service = "s", .tried = {}, .failureDomain = "a"};
     REQUIRE(chooseBackend(registry, criteria, start, 0).reason == NoBackendReason::Unknown);
 }
@@ -479,15 +479,15 @@
 TEST_CASE("The store is asked as seldom as the platform's bounds allow")
 {
     for (const milliseconds bound : {milliseconds(2000), milliseconds(4000), milliseconds(8000)}) {
-        const milliseconds lostAnswer = storeAnswerTimeout + storeFirstRetry;
-        REQUIRE(backendsPause(bound) + lostAnswer < bound);
-        REQUIRE(backendsPause(bound) * 3 > bound);
+        const milliseconds lostAnswer = storeAnswerTimeout + storeInitialBackoff;
+        REQUIRE(backendsPollInterval(bound) + lostAnswer < bound);
+        REQUIRE(backendsPollInterval(bound) * 3 > bound);
         REQUIRE(configurationWait(bound) * 2 > bound);
     }
     // Below, such a read may outlast the bound: a VM whose connections fell silent counts as sound
     // again only a second after it.
-    REQUIRE(configurationWait(milliseconds(2000)) + storeAnswerTimeout + storeFirstRetry
+    REQUIRE(configurationWait(milliseconds(2000)) + storeAnswerTimeout + storeInitialBackoff
             < milliseconds(3000));
-    REQUIRE(configurationWait(milliseconds(4000)) + storeAnswerTimeout + storeFirstRetry
+    REQUIRE(configurationWait(milliseconds(4000)) + storeAnswerTimeout + storeInitialBackoff
             < milliseconds(4000));
 }
--- a/Tests/Gateway/RestartedEnginesTest.cpp
+++ b/Tests/Gateway/RestartedEnginesTest.cpp
@@ -52,7 +52,7 @@
     void readStore(TimePoint begunAt)
     {
         for (const auto &record : unread_)
-            list_.take(record, begunAt);
+            list_.apply(record, begunAt);
         unread_.clear();
         noteListRead(registry_, begunAt);
     }
@@ -165,9 +165,9 @@
     noteReplaced(restart.registry().backends.at("old-0"));
     EventLog log("test", {.least = LogLevel::Error});
     BackendList list(restart.registry(), log, readPause);
-    list.take({"old-0", entryText("model", 0), 0}, start);
+    list.apply({"old-0", entryText("model", 0), 0}, start);
     REQUIRE(restart.registry().backends.at("old-0").replaced);
-    list.take({"old-0", entryText("model", 0), 7}, start);
+    list.apply({"old-0", entryText("model", 0), 7}, start);
     REQUIRE_FALSE(restart.registry().backends.at("old-0").replaced);
 }
 
--- a/Tests/Request/AtMostOnceTest.cpp
+++ b/Tests/Request/AtMostOnceTest.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "Request/KeyHome.h"
+#include "Request/KeyHashing.h"
 #include "Request/RequestWorld.h"
 
 using namespace wisteria;
@@ -12,11 +12,11 @@
 struct OneHome
 {
     RequestWorld world;
-    GateState &gate;
+    AdmissionState &admission;
     StreamId lastStream = 1000;
 
     explicit OneHome(const RequestGuards &guards = {})
-        : world({.agents = 1, .guards = guards}), gate(world.agents[0].gate)
+        : world({.agents = 1, .guards = guards}), admission(world.agents[0].admission)
     { }
 
     v1::RunHead head(const CallerRequest &request, std::uint32_t callerAttempt)
@@ -33,16 +33,17 @@
         return head;
     }
 
-    GateAction arrive(const v1::RunHead &head)
+    AdmissionAction arrive(const v1::RunHead &head)
     {
-        const GateActions actions = runArrived(gate, ++lastStream, head, world.now, world.wall());
+        const AdmissionActions actions =
+            runArrived(admission, ++lastStream, head, world.now, world.wall());
         REQUIRE(actions.size() == 1);
         return actions.front();
     }
 
     v1::Verdict refused(const v1::RunHead &head)
     {
-        const GateAction action = arrive(head);
+        const AdmissionAction action = arrive(head);
         REQUIRE(std::holds_alternative<RefuseAttempt>(action));
         return std::get<RefuseAttempt>(action).verdict;
     }
@@ -50,7 +51,8 @@
     void runToEnd(const v1::RunHead &head, const std::optional<std::string> &body)
     {
         REQUIRE(std::holds_alternative<StartBackend>(arrive(head)));
-        backendEnded(gate, lastStream, {BackendEnd::Answered, 200, "text/plain", body}, world.now);
+        backendEnded(admission, lastStream, {BackendEnd::Answered, 200, "text/plain", body},
+                     world.now);
     }
 };
 
@@ -67,10 +69,10 @@
         guards.refusedTries = guarded;
         OneHome home(guards);
         const CallerRequest order = home.world.keyedRequest("order");
-        backendHealth(home.gate, false, home.world.now);
+        backendHealth(home.admission, false, home.world.now);
         CHECK(home.refused(home.head(order, 2)).kind() == v1::VERDICT_KIND_NOT_RUN);
-        backendHealth(home.gate, true, home.world.now);
-        const GateAction late = home.arrive(home.head(order, 1));
+        backendHealth(home.admission, true, home.world.now);
+        const AdmissionAction late = home.arrive(home.head(order, 1));
         CHECK(std::holds_alternative<RefuseAttempt>(late) == guarded);
         if (guarded)
             CHECK(std::holds_alternative<StartBackend>(home.arrive(home.head(order, 3))));
@@ -86,7 +88,7 @@
     OneHome home;
     const CallerRequest door = home.world.keyedRequest("door 7");
     home.runToEnd(home.head(door, 1), "opened 7");
-    const GateAction again = home.arrive(home.head(door, 2));
+    const AdmissionAction again = home.arrive(home.head(door, 2));
     REQUIRE(std::holds_alternative<ReplayAnswer>(again));
     CHECK(std::get<ReplayAnswer>(again).body == "opened 7");
     v1::RunHead upper = home.head(door, 2);
@@ -120,9 +122,9 @@
     home.runToEnd(home.head(first, 1), "done");
     for (std::size_t i = 0; i < maxKeys; ++i) {
         home.world.now += milliseconds(1);
-        rememberKey(home.gate.keys, keyId(home.world.wall(), "org", std::to_string(i)));
+        rememberKey(home.admission.keys, keyId(home.world.wall(), "org", std::to_string(i)));
     }
-    CHECK(home.gate.keys.records.size() == maxKeys);
+    CHECK(home.admission.keys.records.size() == maxKeys);
     CHECK(home.refused(home.head(first, 2)).kind() == v1::VERDICT_KIND_OUTCOME_UNKNOWN);
     CHECK(home.refused(home.head(first, 2)).reason() == v1::REASON_KEY_TOO_OLD);
 }
@@ -136,17 +138,17 @@
     const WallTime wall = home.world.wall();
     for (std::size_t i = 0; i < maxKeys + 100; ++i) {
         const KeyId newer = keyId(wall + milliseconds(i), "org", "newer");
-        rememberKey(home.gate.keys, newer);
-        storeAnswer(home.gate.keys, newer, {200, "", ""});
-        rememberKey(home.gate.keys, keyId(wall - milliseconds(i), "org", "older"));
+        rememberKey(home.admission.keys, newer);
+        storeAnswer(home.admission.keys, newer, {200, "", ""});
+        rememberKey(home.admission.keys, keyId(wall - milliseconds(i), "org", "older"));
     }
-    CHECK(home.gate.keys.records.size() <= maxKeys);
-    CHECK(home.gate.keys.answerOrder.size() <= maxKeys);
+    CHECK(home.admission.keys.records.size() <= maxKeys);
+    CHECK(home.admission.keys.answerOrder.size() <= maxKeys);
     CallerRequest ahead = home.world.keyedRequest("ahead");
     ahead.key = "ffffffff-ffff-7000-8000-000000000001";
-    const std::size_t before = home.gate.keys.records.size();
+    const std::size_t before = home.admission.keys.records.size();
     CHECK(home.refused(home.head(ahead, 1)).kind() == v1::VERDICT_KIND_OUTCOME_UNKNOWN);
-    CHECK(home.gate.keys.records.size() == before);
+    CHECK(home.admission.keys.records.size() == before);
 }
 
 TEST_CASE("Answers kept for repeats stay within their bound")
@@ -155,11 +157,11 @@
     const std::string body(maxStoredAnswerBytes - 100, 'x');
     for (int i = 0; i < 600; ++i) {
         const KeyId id = keyId(home.world.wall(), "org", std::to_string(i));
-        rememberKey(home.gate.keys, id);
-        storeAnswer(home.gate.keys, id, {200, "text/plain", body});
+        rememberKey(home.admission.keys, id);
+        storeAnswer(home.admission.keys, id, {200, "text/plain", body});
     }
-    CHECK(home.gate.keys.answerBytes <= maxStoredBytes);
-    CHECK(home.gate.keys.answerBytes > maxStoredBytes - maxStoredAnswerBytes);
+    CHECK(home.admission.keys.answerBytes <= maxStoredBytes);
+    CHECK(home.admission.keys.answerBytes > maxStoredBytes - maxStoredAnswerBytes);
 }
 
 // A door opens twice after an agent restarted.
@@ -193,9 +195,9 @@
             seen.set_offset(home.world.config.version);
             seen.set_accepted(true);
         }
-        setGateConfiguration(home.gate, home.world.config, "server-0", home.world.now,
-                             home.world.wall());
-        const GateAction action = home.arrive(home.head(order, 2));
+        setAdmissionConfiguration(home.admission, home.world.config, "server-0", home.world.now,
+                                  home.world.wall());
+        const AdmissionAction action = home.arrive(home.head(order, 2));
         CHECK(std::holds_alternative<StartBackend>(action) == (versions == 1));
     }
 }
--- a/Tests/Request/KillerTest.cpp
+++ b/Tests/Request/KillerTest.cpp
@@ -112,27 +112,27 @@
 TEST_CASE("A conviction holds for as long as the request is repeated, and lapses afterwards")
 {
     const TimePoint start{seconds(1000)};
-    SuspectBook book;
-    recordDeath(book, 7, 1, true, start);
+    PoisonRequests requests;
+    recordDeath(requests, 7, 1, true, start);
     TimePoint now = start;
     for (int minute = 0; minute < 24 * 60; ++minute) {
         now += std::chrono::minutes(1);
-        REQUIRE(suspicionOf(book, 7, now) == Suspicion::Convicted);
-        renewConviction(book, 7, now);
+        REQUIRE(suspicionOf(requests, 7, now) == Suspicion::Quarantined);
+        renewQuarantine(requests, 7, now);
     }
-    CHECK(suspicionOf(book, 7, now + convictionTime) == Suspicion::None);
+    CHECK(suspicionOf(requests, 7, now + quarantineTime) == Suspicion::None);
 }
 
 TEST_CASE("Suspect reports give the same standing in any order, late or twice")
 {
     const TimePoint start{seconds(1000)};
-    SuspectBook agent;
+    PoisonRequests agent;
     recordDeath(agent, 7, 1, false, start);
     const auto suspected = suspectReports(agent, start);
     recordGoodRun(agent, 7);
     const auto cleared = suspectReports(agent, start);
     for (const bool clearedFirst : {true, false}) {
-        SuspectBook entry;
+        PoisonRequests entry;
         for (const auto &reports :
              {clearedFirst ? cleared : suspected, suspected, clearedFirst ? suspected : cleared}) {
             for (const v1::SuspectReport &report : reports)
@@ -147,19 +147,19 @@
 TEST_CASE("The memory of suspects is bounded and keeps the newest")
 {
     TimePoint now{seconds(1000)};
-    SuspectBook book;
+    PoisonRequests requests;
     for (std::uint64_t fingerprint = 0; fingerprint < maxSuspects + 10; ++fingerprint) {
         now += milliseconds(1);
-        recordDeath(book, fingerprint, fingerprint, false, now);
+        recordDeath(requests, fingerprint, fingerprint, false, now);
     }
-    CHECK(book.records.size() == maxSuspects);
-    CHECK(suspicionOf(book, maxSuspects + 9, now) == Suspicion::Suspect);
-    CHECK(suspectReports(book, now).size() == maxSuspectReports);
+    CHECK(requests.records.size() == maxSuspects);
+    CHECK(suspicionOf(requests, maxSuspects + 9, now) == Suspicion::Suspect);
+    CHECK(suspectReports(requests, now).size() == maxSuspectReports);
     for (std::uint64_t death = 0; death < 3 * maxDeaths; ++death) {
-        recordDeath(book, 7, death, false, now);
-        CHECK(suspicionOf(book, 7, now) == Suspicion::Suspect);
+        recordDeath(requests, 7, death, false, now);
+        CHECK(suspicionOf(requests, 7, now) == Suspicion::Suspect);
         if (death % 5 == 0)
-            recordGoodRun(book, 7);
+            recordGoodRun(requests, 7);
     }
-    CHECK(book.records.at(7).deaths.size() <= maxDeaths);
+    CHECK(requests.records.at(7).deaths.size() <= maxDeaths);
 }
--- a/Tests/Request/LimitsAndEndsTest.cpp
+++ b/Tests/Request/LimitsAndEndsTest.cpp
@@ -44,14 +44,14 @@
     return head;
 }
 
-const StartBackend &started(const GateActions &actions)
+const StartBackend &started(const AdmissionActions &actions)
 {
     REQUIRE(actions.size() == 1);
     REQUIRE(std::holds_alternative<StartBackend>(actions.front()));
     return std::get<StartBackend>(actions.front());
 }
 
-v1::Reason refusedFor(const GateActions &actions)
+v1::Reason refusedFor(const AdmissionActions &actions)
 {
     REQUIRE(actions.size() == 1);
     REQUIRE(std::holds_alternative<RefuseAttempt>(actions.front()));
@@ -137,13 +137,15 @@
 TEST_CASE("The agent's queue is bounded, keeps priorities and refuses what can't make its deadline")
 {
     RequestWorld world({.agents = 1, .queueBound = 3});
-    GateState &gate = world.agents[0].gate;
+    AdmissionState &admission = world.agents[0].admission;
     const auto arrive = [&](StreamId stream, std::uint32_t priority, milliseconds remaining) {
-        return runArrived(gate, stream, headWith(priority, remaining), world.now, world.wall());
+        return runArrived(admission, stream, headWith(priority, remaining), world.now,
+                          world.wall());
     };
     const auto end = [&](StreamId stream) {
         world.now += milliseconds(100);
-        return backendEnded(gate, stream, {BackendEnd::Answered, 200, "", std::nullopt}, world.now);
+        return backendEnded(admission, stream, {BackendEnd::Answered, 200, "", std::nullopt},
+                            world.now);
     };
     CHECK(started(arrive(1, 0, seconds(1))).stream == 1);
     CHECK(arrive(2, 0, seconds(1)).empty());
@@ -166,29 +168,30 @@
 TEST_CASE("An agent before a stalled backend server refuses new work at once and says so")
 {
     RequestWorld world({.agents = 1});
-    GateState &gate = world.agents[0].gate;
-    gate.backendStalled = true;
-    CHECK(refusedFor(runArrived(gate, 1, headWith(0, seconds(1)), world.now, world.wall()))
+    AdmissionState &admission = world.agents[0].admission;
+    admission.backendStalled = true;
+    CHECK(refusedFor(runArrived(admission, 1, headWith(0, seconds(1)), world.now, world.wall()))
           == v1::REASON_BACKEND_DOWN);
-    CHECK(loadReport(gate).backend_down());
-    gate.backendStalled = false;
-    CHECK(started(runArrived(gate, 2, headWith(0, seconds(1)), world.now, world.wall())).stream
+    CHECK(loadReport(admission).backend_down());
+    admission.backendStalled = false;
+    CHECK(started(runArrived(admission, 2, headWith(0, seconds(1)), world.now, world.wall())).stream
           == 2);
 }
 
 TEST_CASE("A leaving agent refuses what is queued and new as not run, and ends what runs")
 {
     RequestWorld world({.agents = 1});
-    GateState &gate = world.agents[0].gate;
-    runArrived(gate, 1, headWith(0, seconds(1)), world.now, world.wall());
-    runArrived(gate, 2, headWith(0, seconds(1)), world.now, world.wall());
-    CHECK(refusedFor(beginLeaving(gate, world.now)) == v1::REASON_LEAVING);
-    CHECK(refusedFor(runArrived(gate, 3, headWith(0, seconds(1)), world.now, world.wall()))
+    AdmissionState &admission = world.agents[0].admission;
+    runArrived(admission, 1, headWith(0, seconds(1)), world.now, world.wall());
+    runArrived(admission, 2, headWith(0, seconds(1)), world.now, world.wall());
+    CHECK(refusedFor(beginLeaving(admission, world.now)) == v1::REASON_LEAVING);
+    CHECK(refusedFor(runArrived(admission, 3, headWith(0, seconds(1)), world.now, world.wall()))
           == v1::REASON_LEAVING);
-    CHECK_FALSE(idle(gate));
-    CHECK(loadReport(gate).leaving());
-    CHECK(backendEnded(gate, 1, {BackendEnd::Answered, 200, "", std::nullopt}, world.now).empty());
-    CHECK(idle(gate));
+    CHECK_FALSE(idle(admission));
+    CHECK(loadReport(admission).leaving());
+    CHECK(backendEnded(admission, 1, {BackendEnd::Answered, 200, "", std::nullopt}, world.now)
+              .empty());
+    CHECK(idle(admission));
 }
 
 // Counter clerks wait out their deadlines because one backend server hangs.
--- a/Tests/Request/OrganisationLimitsTest.cpp
+++ b/Tests/Request/OrganisationLimitsTest.cpp
@@ -5,7 +5,7 @@
 #include <catch2/catch.hpp>
 
 #include "Request/BudgetOwner.h"
-#include "Request/KeyHome.h"
+#include "Request/KeyHashing.h"
 
 using namespace wisteria;
 
--- a/Tests/Request/RequestWorld.cpp
+++ b/Tests/Request/RequestWorld.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "Request/KeyHome.h"
+#include "Request/KeyHashing.h"
 #include "Request/RoutingView.h"
 
 namespace wisteria::test {
@@ -143,15 +143,15 @@
 
 void RequestWorld::startAgent(int agent)
 {
-    GateState gate;
-    gate.ownAddress = "127.0.0.1:" + std::to_string(7000 + agent);
-    gate.incarnation = wall().time_since_epoch().count();
-    gate.guards = options_.guards;
-    gate.backendUp = backends[agent].node.alive;
-    agents[agent].gate = std::move(gate);
+    AdmissionState admission;
+    admission.ownAddress = "127.0.0.1:" + std::to_string(7000 + agent);
+    admission.incarnation = wall().time_since_epoch().count();
+    admission.guards = options_.guards;
+    admission.backendUp = backends[agent].node.alive;
+    agents[agent].admission = std::move(admission);
     agents[agent].streams.clear();
     agents[agent].node.alive = true;
-    setGateConfiguration(agents[agent].gate, config, agentName(agent), now, wall());
+    setAdmissionConfiguration(agents[agent].admission, config, agentName(agent), now, wall());
 }
 
 void RequestWorld::startEntry(int entry)
@@ -323,7 +323,7 @@
     }
     after(seconds(2), [this, agent] {
         for (Agent &other : agents)
-            vmGone(other.gate, "vm-" + std::to_string(agent), now, wall());
+            vmGone(other.admission, "vm-" + std::to_string(agent), now, wall());
     });
 }
 
@@ -336,7 +336,7 @@
     const std::set<StreamId> died = std::move(backend.running);
     backend.running.clear();
     deliver(agents[agent].node, agents[agent].node.epoch, [this, agent, died] {
-        act(agent, backendHealth(agents[agent].gate, false, now));
+        act(agent, backendHealth(agents[agent].admission, false, now));
         for (const StreamId stream : died)
             endRun(agent, stream, {BackendEnd::Died, 0, "", std::nullopt});
     });
@@ -345,7 +345,7 @@
     after(backendRestartTime, [this, agent] {
         backends[agent].node.alive = true;
         if (agents[agent].node.alive)
-            act(agent, backendHealth(agents[agent].gate, true, now));
+            act(agent, backendHealth(agents[agent].admission, true, now));
     });
 }
 
@@ -375,7 +375,9 @@
     for (int i = 0; i < options_.agents; ++i) {
         after(i == agent ? hop : configLag, [this, i, changed] {
             deliver(agents[i].node, agents[i].node.epoch, [this, i, changed] {
-                act(i, setGateConfiguration(agents[i].gate, *changed, agentName(i), now, wall()));
+                act(i,
+                    setAdmissionConfiguration(agents[i].admission, *changed, agentName(i), now,
+                                              wall()));
             });
         });
     }
--- a/Tests/Request/RequestWorld.h
+++ b/Tests/Request/RequestWorld.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "Request/AgentGate.h"
+#include "Request/AgentAdmission.h"
 #include "Request/EntryRequest.h"
 
 namespace wisteria::test {
@@ -162,7 +162,7 @@
     struct Agent
     {
         Node node;
-        GateState gate;
+        AdmissionState admission;
         std::map<StreamId, std::pair<std::size_t, v1::RunHead>> streams;
     };
     struct Backend
@@ -218,7 +218,7 @@
     void cancelStream(std::size_t call);
     void checkDeadline(std::size_t call);
     void tell(std::size_t call, Told told, v1::Reason reason);
-    void act(int agent, const GateActions &actions);
+    void act(int agent, const AdmissionActions &actions);
     void startBackend(int agent, StreamId stream);
     void backendRuns(int agent, StreamId stream, std::size_t call, const v1::RunHead &head);
     void endRun(int agent, StreamId stream, const BackendResult &result);
--- a/Tests/Request/RequestWorldAgents.cpp
+++ b/Tests/Request/RequestWorldAgents.cpp
@@ -4,9 +4,9 @@
 
 namespace wisteria::test {
 
-void RequestWorld::act(int agent, const GateActions &actions)
+void RequestWorld::act(int agent, const AdmissionActions &actions)
 {
-    for (const GateAction &action : actions) {
+    for (const AdmissionAction &action : actions) {
         if (const auto *start = std::get_if<StartBackend>(&action))
             startBackend(agent, start->stream);
         if (const auto *refuse = std::get_if<RefuseAttempt>(&action)) {
@@ -28,14 +28,14 @@
         return;
     const std::size_t call = found->second.first;
     const v1::RunHead head = found->second.second;
-    for (const GateRun &run : agents[agent].gate.running) {
+    for (const AgentAttempt &run : agents[agent].admission.running) {
         if (run.stream == stream && run.deadline <= now)
             seenBreaches_.push_back("a run began past its deadline");
     }
-    const int gateEpoch = agents[agent].node.epoch;
+    const int agentEpoch = agents[agent].node.epoch;
     if (!backends[agent].node.alive) {
         after(hop, [=, this] {
-            deliver(agents[agent].node, gateEpoch, [=, this] {
+            deliver(agents[agent].node, agentEpoch, [=, this] {
                 endRun(agent, stream, {BackendEnd::Refused, 0, "", std::nullopt});
             });
         });
@@ -80,10 +80,11 @@
 
 void RequestWorld::endRun(int agent, StreamId stream, const BackendResult &result)
 {
-    const auto &running = agents[agent].gate.running;
-    const bool known = std::any_of(running.begin(), running.end(),
-                                   [stream](const GateRun &run) { return run.stream == stream; });
-    const GateActions actions = backendEnded(agents[agent].gate, stream, result, now);
+    const auto &running = agents[agent].admission.running;
+    const bool known =
+        std::any_of(running.begin(), running.end(),
+                    [stream](const AgentAttempt &run) { return run.stream == stream; });
+    const AdmissionActions actions = backendEnded(agents[agent].admission, stream, result, now);
     if (known && result.kind == BackendEnd::Answered)
         sendAnswer(agent, stream, *result.body);
     act(agent, actions);
@@ -111,7 +112,7 @@
     const v1::RunHead head = found->second.second;
     frame.set_request_id(head.request_id());
     frame.set_attempt(head.attempt());
-    *frame.mutable_load() = loadReport(agents[agent].gate);
+    *frame.mutable_load() = loadReport(agents[agent].admission);
     Call &receiver = *calls[call];
     Node &entry = entries[receiver.entry].node;
     if (entry.epoch != receiver.entryEpoch)
@@ -127,7 +128,7 @@
 {
     for (int i = 0; i < options_.agents; ++i) {
         if (agents[i].node.alive && !agents[i].node.frozen)
-            act(i, tick(agents[i].gate, now, wall()));
+            act(i, tick(agents[i].admission, now, wall()));
     }
     while (firstOpen_ < calls.size() && calls[firstOpen_]->told)
         ++firstOpen_;
@@ -160,12 +161,13 @@
                 observeUnreachable(entry.state, name, now);
                 continue;
             }
-            observeLoad(entry.state, name, loadReport(agent.gate), agent.gate.configVersion, now);
+            observeLoad(entry.state, name, loadReport(agent.admission),
+                        agent.admission.configVersion, now);
             v1::Heartbeat heartbeat;
-            for (const v1::SuspectReport &report : suspectReports(agent.gate.suspects, now))
+            for (const v1::SuspectReport &report : suspectReports(agent.admission.suspects, now))
                 *heartbeat.add_suspects() = report;
             for (const v1::SuspectReport &report : suspectsToReport(*entry.shared, now))
-                mergeSuspectReport(agent.gate.suspects, report, now);
+                mergeSuspectReport(agent.admission.suspects, report, now);
             observeSuspects(*entry.shared, heartbeat, now);
         }
     }
@@ -176,11 +178,11 @@
     for (Agent &agent : agents) {
         if (!agent.node.alive || agent.node.frozen)
             continue;
-        for (const HandoverWanted &wanted : handoversWanted(agent.gate)) {
-            const Agent &former = agents[agentNamed(wanted.formerHome)];
+        for (const HandoverWanted &wanted : handoversWanted(agent.admission)) {
+            const Agent &former = agents[agentNamed(wanted.formerOwner)];
             if (former.node.alive && !former.node.frozen) {
-                handoverAnswered(agent.gate, wanted.formerHome,
-                                 answerHandover(former.gate, wanted.message), now, wall());
+                handoverAnswered(agent.admission, wanted.formerOwner,
+                                 answerHandover(former.admission, wanted.message), now, wall());
             }
         }
     }
--- a/Tests/Request/RequestWorldCallers.cpp
+++ b/Tests/Request/RequestWorldCallers.cpp
@@ -2,7 +2,7 @@
 #include <cstdio>
 #include <utility>
 
-#include "Request/KeyHome.h"
+#include "Request/KeyHashing.h"
 #include "Request/RequestWorld.h"
 
 namespace wisteria::test {
@@ -171,7 +171,7 @@
         const StreamId name = copy ? ++lastStream_ : stream;
         if (copy)
             agents[agent].streams[name] = {call, head};
-        act(agent, runArrived(agents[agent].gate, name, head, now, wall()));
+        act(agent, runArrived(agents[agent].admission, name, head, now, wall()));
     });
 }
 
@@ -183,7 +183,7 @@
                 continue;
             after(hop, [this, i, stream = stream] {
                 deliver(agents[i].node, agents[i].node.epoch, [this, i, stream] {
-                    act(i, streamCancelled(agents[i].gate, stream, now));
+                    act(i, streamCancelled(agents[i].admission, stream, now));
                 });
             });
         }
--- a/Tests/Request/RouteTest.cpp
+++ b/Tests/Request/RouteTest.cpp
@@ -93,19 +93,19 @@
 {
     Candidate candidate;
     TimePoint now = start;
-    for (std::uint32_t i = 0; i < shunAfterFailures; ++i) {
+    for (std::uint32_t i = 0; i < ejectAfterFailures; ++i) {
         CHECK(mayBeAsked(candidate, now));
         attemptSent(candidate, now);
         attemptOver(candidate, true, now);
     }
     CHECK_FALSE(mayBeAsked(candidate, now));
-    now += firstShun;
+    now += minEjection;
     CHECK(mayBeAsked(candidate, now));
     attemptSent(candidate, now);
     CHECK_FALSE(mayBeAsked(candidate, now));
     attemptOver(candidate, true, now);
-    CHECK_FALSE(mayBeAsked(candidate, now + firstShun));
-    now += 2 * firstShun;
+    CHECK_FALSE(mayBeAsked(candidate, now + minEjection));
+    now += 2 * minEjection;
     attemptSent(candidate, now);
     attemptHeard(candidate, now);
     CHECK(mayBeAsked(candidate, now));
--- a/Tests/Version/EntryMembersTest.cpp
+++ b/Tests/Version/EntryMembersTest.cpp
@@ -31,9 +31,10 @@
 TEST_CASE("Entries come with their records and go when they say goodbye")
 {
     EntryMembers members;
-    CHECK(takeMembers(members, batchOf({memberRecord(1, "a", 1), memberRecord(2, "b", 1)}), start));
+    CHECK(
+        updateMembers(members, batchOf({memberRecord(1, "a", 1), memberRecord(2, "b", 1)}), start));
     CHECK(memberNames(members) == std::vector<std::string>{"a", "b"});
-    CHECK(takeMembers(members, batchOf({memberRecord(3, "a", 1, true)}), start));
+    CHECK(updateMembers(members, batchOf({memberRecord(3, "a", 1, true)}), start));
     CHECK(memberNames(members) == std::vector<std::string>{"b"});
 }
 
@@ -42,11 +43,11 @@
 TEST_CASE("An entry without a record for long counts as gone while the log answers")
 {
     EntryMembers members;
-    takeMembers(members, batchOf({memberRecord(1, "a", 1)}), start);
+    updateMembers(members, batchOf({memberRecord(1, "a", 1)}), start);
     TimePoint now = start;
     while (now < start + memberSilence) {
         now += milliseconds(2000);
-        takeMembers(members, batchOf({}), now);
+        updateMembers(members, batchOf({}), now);
     }
     CHECK(memberNames(members).empty());
 }
@@ -56,9 +57,9 @@
 TEST_CASE("An outage of the log ages no entry")
 {
     EntryMembers members;
-    takeMembers(members, batchOf({memberRecord(1, "a", 1)}), start);
+    updateMembers(members, batchOf({memberRecord(1, "a", 1)}), start);
     const TimePoint after = start + std::chrono::minutes(30);
-    CHECK_FALSE(takeMembers(members, batchOf({}), after));
+    CHECK_FALSE(updateMembers(members, batchOf({}), after));
     CHECK(memberNames(members) == std::vector<std::string>{"a"});
 }
 
@@ -67,7 +68,7 @@
 TEST_CASE("A late record of an older life changes nothing")
 {
     EntryMembers members;
-    takeMembers(members, batchOf({memberRecord(1, "a", 2)}), start);
-    CHECK_FALSE(takeMembers(members, batchOf({memberRecord(2, "a", 1, true)}), start));
+    updateMembers(members, batchOf({memberRecord(1, "a", 2)}), start);
+    CHECK_FALSE(updateMembers(members, batchOf({memberRecord(2, "a", 1, true)}), start));
     CHECK(memberAddress(members, "a") == "a-2");
 }
--- a/Tests/Version/PlacementTest.cpp
+++ b/Tests/Version/PlacementTest.cpp
@@ -62,7 +62,7 @@
                TimePoint at)
 {
     for (std::uint32_t layer = 0; layer < group.layers; ++layer)
-        REQUIRE(takeLoadReport(group, state, {at, layer, loads}));
+        REQUIRE(addLoadReport(group, state, {at, layer, loads}));
 }
 
 } // namespace
@@ -243,15 +243,15 @@
         {TimePoint(), 0, std::vector<double>(8, notANumber)},
     };
     for (const LoadReport &report : wrong) {
-        const Result<void> taken = takeLoadReport(group, state, report);
+        const Result<void> taken = addLoadReport(group, state, report);
         REQUIRE_FALSE(taken);
         CHECK(taken.error().kind == ErrorKind::BadInput);
     }
     CHECK(state.layers[0].estimate.reports == 0);
     const TimePoint late = TimePoint() + interval;
-    REQUIRE(takeLoadReport(group, state, {late, 0, std::vector<double>(8, 1.0)}));
-    REQUIRE(takeLoadReport(group, state, {TimePoint(), 0, std::vector<double>(8, 2.0)}));
-    REQUIRE(takeLoadReport(group, state, {late + interval, 0, std::vector<double>(8, 0.0)}));
+    REQUIRE(addLoadReport(group, state, {late, 0, std::vector<double>(8, 1.0)}));
+    REQUIRE(addLoadReport(group, state, {TimePoint(), 0, std::vector<double>(8, 2.0)}));
+    REQUIRE(addLoadReport(group, state, {late + interval, 0, std::vector<double>(8, 0.0)}));
     CHECK(state.layers[0].estimate.reports == 1);
 }
 
--- a/Tests/Version/VmListTest.cpp
+++ b/Tests/Version/VmListTest.cpp
@@ -17,12 +17,12 @@
 TEST_CASE("A VM counts as gone only after no list named it for twice the list's lag")
 {
     VmView view;
-    takeVmList(view, both, start);
-    takeVmList(view, onlyA, start + milliseconds(1000));
+    updateVmList(view, both, start);
+    updateVmList(view, onlyA, start + milliseconds(1000));
     CHECK_FALSE(isVmGone(view, "b"));
-    takeVmList(view, onlyA, start + vmGoneAfter - milliseconds(1));
+    updateVmList(view, onlyA, start + vmGoneAfter - milliseconds(1));
     CHECK_FALSE(isVmGone(view, "b"));
-    takeVmList(view, onlyA, start + vmGoneAfter);
+    updateVmList(view, onlyA, start + vmGoneAfter);
     CHECK(isVmGone(view, "b"));
     CHECK_FALSE(isVmGone(view, "a"));
 }
@@ -31,18 +31,18 @@
 {
     VmView view;
     CHECK_FALSE(isVmGone(view, "c"));
-    takeVmList(view, onlyA, start);
+    updateVmList(view, onlyA, start);
     CHECK_FALSE(isVmGone(view, "c"));
-    takeVmList(view, onlyA, start + vmGoneAfter);
+    updateVmList(view, onlyA, start + vmGoneAfter);
     CHECK(isVmGone(view, "c"));
 }
 
 TEST_CASE("Leaving VMs are those that the newest list names so")
 {
     VmView view;
-    takeVmList(view, both, start);
+    updateVmList(view, both, start);
     CHECK(leavingVms(view) == std::set<std::string>{"b"});
-    takeVmList(view, onlyA, start);
+    updateVmList(view, onlyA, start);
     CHECK(leavingVms(view).empty());
 }
 
