--- a/Source/Programs/Gateway/BackendList.cpp
+++ b/Source/Programs/Gateway/BackendList.cpp
@@ -15,11 +15,11 @@
 
 } // namespace
 
-BackendList::BackendList(BackendBoard &board, EventLog &log, milliseconds readPause)
-    : board_(board), log_(log), graceAfterOutage_(backAfterOutage + readPause + readTime)
+BackendList::BackendList(BackendRegistry &registry, EventLog &log, milliseconds pollInterval)
+    : registry_(registry), log_(log), graceAfterOutage_(backAfterOutage + pollInterval + readTime)
 { }
 
-void BackendList::take(const platform::KeyedRecord &record, TimePoint now)
+void BackendList::apply(const platform::KeyedRecord &record, TimePoint now)
 {
     if (record.value.empty()) {
         remove(record.key, now);
@@ -30,11 +30,11 @@
     if (entry.has_error()) {
         log_.warn("backend.bad_entry",
                   {{"backend", record.key}, {"reason", entry.error().message}});
-        removeBackend(board_, record.key);
+        removeBackend(registry_, record.key);
         return;
     }
-    const auto known = board_.backends.find(record.key);
-    const bool changed = known == board_.backends.end()
+    const auto known = registry_.backends.find(record.key);
+    const bool changed = known == registry_.backends.end()
         || known->second.entry.draining != entry.value().draining
         || known->second.entry.address != entry.value().address
         || known->second.entry.startedAt != entry.value().startedAt;
@@ -48,18 +48,18 @@
                    {"offset", record.offset}});
     }
     entry.value().recordedAt = record.offset;
-    putBackend(board_, entry.value(), now);
+    putBackend(registry_, entry.value(), now);
 }
 
-void BackendList::takeAll(const std::vector<platform::KeyedRecord> &records, TimePoint now)
+void BackendList::applyAll(const std::vector<platform::KeyedRecord> &records, TimePoint now)
 {
     std::set<std::string> named;
     for (const platform::KeyedRecord &record : records) {
         named.insert(record.key);
-        take(record, now);
+        apply(record, now);
     }
     std::vector<std::string> gone;
-    for (const auto &[id, state] : board_.backends) {
+    for (const auto &[id, state] : registry_.backends) {
         if (!named.contains(id))
             gone.push_back(id);
     }
@@ -68,24 +68,24 @@
     known_ = true;
 }
 
-void BackendList::storeRegained(TimePoint now)
+void BackendList::storeReconnected(TimePoint now)
 {
     graceUntil_ = now + graceAfterOutage_;
 }
 
 void BackendList::remove(const std::string &id, TimePoint now)
 {
-    if (!board_.backends.contains(id))
+    if (!registry_.backends.contains(id))
         return;
     if (now < graceUntil_) {
         missing_.try_emplace(id, graceUntil_);
         return;
     }
     log_.info("backend.gone", {{"backend", id}});
-    removeBackend(board_, id);
+    removeBackend(registry_, id);
 }
 
-void BackendList::checkTime(TimePoint now)
+void BackendList::checkTimeouts(TimePoint now)
 {
     for (auto entry = missing_.begin(); entry != missing_.end();) {
         if (now < entry->second) {
--- a/Source/Programs/Gateway/Gateway.cpp
+++ b/Source/Programs/Gateway/Gateway.cpp
@@ -16,7 +16,7 @@
 #include "Programs/Gateway/LimitPermits.h"
 #include "Programs/Gateway/Session.h"
 #include "Programs/Gateway/SidecarHellos.h"
-#include "Programs/Gateway/StorePacing.h"
+#include "Programs/Gateway/StorePolling.h"
 #include "Programs/Gateway/StoreWatch.h"
 #include "Version/GroupMessages.h"
 #include "platform/ConfigurationCodec.h"
@@ -36,25 +36,26 @@
 /// Time before the kill at which a stopping gateway ends whatever is left.
 constexpr milliseconds stopMargin{300};
 
-RetryBounds retryBoundsOf(const platform::ProcessSettings &settings)
+RetryQuota retryQuotaOf(const platform::ProcessSettings &settings)
 {
-    return {
-        .ratio = settings.retryRatio, .slack = settings.retrySlack, .window = settings.retryWindow};
+    return {.ratio = settings.retryRatio,
+            .baseRetries = settings.retrySlack,
+            .window = settings.retryWindow};
 }
 
 /// The places of each service as this gateway expects them to be taken.
-std::vector<ServicePlaces> placesOf(const BackendBoard &board, TimePoint now)
+std::vector<ServiceSlots> slotsOf(const BackendRegistry &registry, TimePoint now)
 {
-    std::map<std::string, ServicePlaces> places;
-    for (const auto &[id, state] : board.backends) {
-        ServicePlaces &service = places[state.entry.service];
+    std::map<std::string, ServiceSlots> slots;
+    for (const auto &[id, state] : registry.backends) {
+        ServiceSlots &service = slots[state.entry.service];
         service.service = state.entry.service;
         ++service.backends;
-        service.taken += expectedLoad(state, now, board.loadLifetime);
+        service.taken += expectedLoad(state, now, registry.loadLifetime);
         service.total += state.entry.slots;
     }
-    std::vector<ServicePlaces> list;
-    for (const auto &[name, service] : places)
+    std::vector<ServiceSlots> list;
+    for (const auto &[name, service] : slots)
         list.push_back(service);
     return list;
 }
@@ -72,14 +73,14 @@
                                  .log = log_,
                                  .metrics = metrics_,
                                  .pool = pool_,
-                                 .board = board_,
-                                 .retryBounds = retryBoundsOf(settings_),
-                                 .retryShares = {},
+                                 .registry = registry_,
+                                 .retryQuota = retryQuotaOf(settings_),
+                                 .retryBuckets = {},
                                  .failureDomain = settings_.failureDomain,
                                  .routes = nullptr,
                                  .listChanged =
                                      [this] { backendsWatch_->readSoon(monotonicNow()); }},
-          list_(board_, log_, backendsPause(settings_.drainTime)),
+          list_(registry_, log_, backendsPollInterval(settings_.drainTime)),
           callers_(loop_, [this](int descriptor) { acceptCaller(descriptor); }),
           readiness_(
               loop_,
@@ -126,33 +127,34 @@
             loop_, pool_, log_, metrics_, settings_.store,
             WatchPlan{"configuration", platform::operatorTopic,
                       configurationWait(settings_.configurationTime), milliseconds(0)},
-            WatchEvents{.record = [this](const auto &record) { takeConfiguration(record); },
+            WatchEvents{.record = [this](const auto &record) { applyConfiguration(record); },
                         .snapshot =
                             [this](const auto &records) {
                                 for (const auto &record : records)
-                                    takeConfiguration(record);
+                                    applyConfiguration(record);
                             },
-                        .regained = [] {},
+                        .reconnected = [] {},
                         .confirmed = [this](TimePoint at) { context_.routesConfirmedAt = at; },
                         .upToDate = [](TimePoint) {}});
         backendsWatch_ = std::make_unique<StoreWatch>(
             loop_, pool_, log_, metrics_, settings_.store,
             WatchPlan{"backends", platform::backendsTopic, milliseconds(0),
-                      backendsPause(settings_.drainTime)},
+                      backendsPollInterval(settings_.drainTime)},
             WatchEvents{
-                .record = [this](const auto &record) { list_.take(record, monotonicNow()); },
-                .snapshot = [this](const auto &records) { list_.takeAll(records, monotonicNow()); },
-                .regained = [this] { list_.storeRegained(monotonicNow()); },
+                .record = [this](const auto &record) { list_.apply(record, monotonicNow()); },
+                .snapshot =
+                    [this](const auto &records) { list_.applyAll(records, monotonicNow()); },
+                .reconnected = [this] { list_.storeReconnected(monotonicNow()); },
                 .confirmed = [](TimePoint) {},
                 .upToDate =
                     [this](TimePoint at) {
-                        noteListRead(board_, at);
+                        noteListRead(registry_, at);
                         context_.listKnown = list_.known();
                         serveWaitingSoon();
                     }});
     }
 
-    void takeConfiguration(const platform::KeyedRecord &record)
+    void applyConfiguration(const platform::KeyedRecord &record)
     {
         if (record.key != platform::configurationKey || record.value.empty())
             return;
@@ -179,37 +181,37 @@
             return;
         }
         if (const auto *load = std::get_if<EngineLoad>(&message.value()))
-            takeLoad(*load);
-        else if (std::holds_alternative<EngineListWanted>(message.value()))
-            hellos_.tellList(from);
-        else if (const auto *asked = std::get_if<PermitAsked>(&message.value()))
-            permits_->take(from, *asked, monotonicNow());
-        else if (const auto *told = std::get_if<PermitTold>(&message.value()))
-            takePermit(from, *told);
+            applyLoad(*load);
+        else if (std::holds_alternative<EngineListRequest>(message.value()))
+            hellos_.sendEngineList(from);
+        else if (const auto *permitRequest = std::get_if<PermitRequestMessage>(&message.value()))
+            permits_->receive(from, *permitRequest, monotonicNow());
+        else if (const auto *permitReply = std::get_if<PermitReplyMessage>(&message.value()))
+            receivePermitReply(from, *permitReply);
     }
 
-    void takeLoad(const EngineLoad &load)
+    void applyLoad(const EngineLoad &load)
     {
-        const LoadTold told{.running = load.running,
-                            .waiting = load.waiting,
-                            .at = monotonicNow(),
-                            .pace = load.pace,
-                            .open = load.open,
-                            .gateways = load.gateways};
-        noteGateways(context_.retryBounds, load.gateways);
-        for (auto &[id, state] : board_.backends) {
+        const BackendLoad reported{.running = load.running,
+                                   .waiting = load.waiting,
+                                   .at = monotonicNow(),
+                                   .slowdown = load.slowdown,
+                                   .open = load.open,
+                                   .gateways = load.gateways};
+        noteGateways(context_.retryQuota, load.gateways);
+        for (auto &[id, state] : registry_.backends) {
             if (state.entry.address != load.engine)
                 continue;
-            if (noteOpening(board_, state, told))
+            if (noteOpening(registry_, state, reported))
                 noteOpeningOf(state.entry.service);
-            noteLoad(state, told, context_.draw());
+            noteLoad(state, reported, context_.randomUnit());
         }
         serveWaitingSoon();
     }
 
-    void takePermit(const Endpoint &from, const PermitTold &told)
+    void receivePermitReply(const Endpoint &from, const PermitReplyMessage &message)
     {
-        if (permits_->take(from, told, monotonicNow()))
+        if (permits_->receive(from, message, monotonicNow()))
             serveWaitingSoon();
     }
 
@@ -221,21 +223,22 @@
 
     void acceptCaller(int descriptor)
     {
-        const std::size_t most = settings_.openFiles > descriptorsKept
+        const std::size_t maxSessions = settings_.openFiles > descriptorsKept
             ? (settings_.openFiles - descriptorsKept) / 2
             : settings_.openFiles / 2;
-        if (sessions_.size() >= most) {
+        if (sessions_.size() >= maxSessions) {
             ::close(descriptor);
-            log_.warn("caller.refused", {{"reason", "too many connections"}, {"limit", most}});
+            log_.warn("caller.refused",
+                      {{"reason", "too many connections"}, {"limit", maxSessions}});
             return;
         }
         const std::uint64_t id = ++lastSession_;
-        sessions_[id] =
-            std::make_unique<Session>(context_, descriptor,
-                                      SessionEvents{.over = [this, id] { endSession(id); },
-                                                    .waits = [this, id] { waiting_.push_back(id); },
-                                                    .freed = [this] { serveWaitingSoon(); },
-                                                    .stopping = [this] { return stopping_; }});
+        sessions_[id] = std::make_unique<Session>(
+            context_, descriptor,
+            SessionEvents{.closed = [this, id] { endSession(id); },
+                          .queued = [this, id] { waiting_.push_back(id); },
+                          .slotFreed = [this] { serveWaitingSoon(); },
+                          .stopping = [this] { return stopping_; }});
     }
 
     void endSession(std::uint64_t id)
@@ -272,7 +275,7 @@
         const std::vector<std::uint64_t> order = waiting_;
         for (const std::uint64_t id : order) {
             if (Exchange *exchange = waitingExchange(id))
-                exchange->tryPlace(now);
+                exchange->tryDispatch(now);
         }
     }
 
@@ -296,15 +299,15 @@
              .connections = sessions_.size(),
              .openRequests = busySessions(),
              .waitingRequests = waiting_.size(),
-             .serverLimits = limitsInForce(board_.limits),
+             .serverLimits = limitsInForce(registry_.limits),
              .ready = ready(),
              .droppedLogLines = log_.dropped()});
-        for (auto &[service, share] : context_.retryShares) {
-            refill(share, context_.retryBounds, now);
-            setRetriesLeft(metrics_, service, share.tokens);
+        for (auto &[service, bucket] : context_.retryBuckets) {
+            refill(bucket, context_.retryQuota, now);
+            setRetriesLeft(metrics_, service, bucket.tokens);
         }
-        for (const ServicePlaces &places : placesOf(board_, now))
-            setPlaces(metrics_, places);
+        for (const ServiceSlots &slots : slotsOf(registry_, now))
+            setSlots(metrics_, slots);
         noteStoreAge("configuration", *configurationWatch_, now);
         noteStoreAge("backends", *backendsWatch_, now);
         return metrics_.text();
@@ -333,15 +336,15 @@
         for (const std::uint64_t id : ids) {
             const auto found = sessions_.find(id);
             if (found != sessions_.end())
-                found->second->checkTime(now);
+                found->second->checkTimeouts(now);
         }
-        hellos_.say(now);
-        directory_->checkTime(now);
-        if (permits_->ask(now))
+        hellos_.sendDue(now);
+        directory_->checkTimeouts(now);
+        if (permits_->requestPermits(now))
             serveWaitingSoon();
-        configurationWatch_->checkTime(now);
-        backendsWatch_->checkTime(now);
-        list_.checkTime(now);
+        configurationWatch_->checkTimeouts(now);
+        backendsWatch_->checkTimeouts(now);
+        list_.checkTimeouts(now);
         pool_.closeExpired(now);
         if (stopping_)
             checkStop(now);
@@ -355,13 +358,13 @@
             log_.warn("process.reload_refused", {{"reason", read.error().message}});
             return;
         }
-        const std::uint32_t gateways = context_.retryBounds.gatewaysTold;
-        context_.retryBounds = retryBoundsOf(read.value());
-        noteGateways(context_.retryBounds, gateways);
+        const std::uint32_t gateways = context_.retryQuota.reportedGateways;
+        context_.retryQuota = retryQuotaOf(read.value());
+        noteGateways(context_.retryQuota, gateways);
         settings_.gracePeriod = read.value().gracePeriod;
         log_.info("process.reload",
-                  {{"retry_ratio", context_.retryBounds.ratio},
-                   {"retry_slack", context_.retryBounds.slack}});
+                  {{"retry_ratio", context_.retryQuota.ratio},
+                   {"retry_slack", context_.retryQuota.baseRetries}});
     }
 
     void stop()
@@ -411,7 +414,7 @@
     EventLog log_;
     Metrics metrics_;
     HttpClientPool pool_;
-    BackendBoard board_;
+    BackendRegistry registry_;
     GatewayContext context_;
     BackendList list_;
     TcpListener callers_;
--- a/Source/Programs/Gateway/LimitPermits.cpp
+++ b/Source/Programs/Gateway/LimitPermits.cpp
@@ -10,14 +10,15 @@
 /// chance.
 constexpr double usedAlone = 0.5;
 
-std::uint32_t ageOf(const LimitWord &word, TimePoint now)
+std::uint32_t ageOf(const AdvertisedLimit &advertised, TimePoint now)
 {
-    return static_cast<std::uint32_t>(remaining(word.heardAt, now).count());
+    return static_cast<std::uint32_t>(remaining(advertised.receivedAt, now).count());
 }
 
-LimitWord wordOf(const std::optional<double> &perSecond, std::uint32_t age, TimePoint now)
+AdvertisedLimit advertisedLimitOf(const std::optional<double> &perSecond, std::uint32_t age,
+                                  TimePoint now)
 {
-    return {.perSecond = perSecond, .heardAt = now - milliseconds(age)};
+    return {.perSecond = perSecond, .receivedAt = now - milliseconds(age)};
 }
 
 } // namespace
@@ -27,94 +28,98 @@
     : context_(context), peers_(peers), directory_(directory)
 { }
 
-bool LimitPermits::ask(TimePoint now)
+bool LimitPermits::requestPermits(TimePoint now)
 {
-    ServerLimits &limits = context_.board.limits;
-    forgetOldLimits(context_.board, now);
-    forgetOldLimits(kept_, now);
-    std::vector<PermitQuestion> due;
+    ServerLimits &limits = context_.registry.limits;
+    forgetOldLimits(context_.registry, now);
+    forgetOldLimits(ownedLimits_, now);
+    std::vector<PermitRequest> due;
     for (const auto &[id, limit] : limits) {
-        if (auto question = questionDue(limits, id, now))
-            due.push_back(std::move(*question));
+        if (auto request = nextPermitRequest(limits, id, now))
+            due.push_back(std::move(*request));
     }
     bool permitted = false;
-    for (const PermitQuestion &question : due)
-        permitted = ask(question, now) || permitted;
+    for (const PermitRequest &request : due)
+        permitted = requestPermit(request, now) || permitted;
     return permitted;
 }
 
-bool LimitPermits::ask(const PermitQuestion &question, TimePoint now)
+bool LimitPermits::requestPermit(const PermitRequest &request, TimePoint now)
 {
     PeerGateways &gateways = directory_.gateways();
-    const auto keeper = keeperOf(gateways, question.server, now);
-    KeptLimit &kept = kept_[question.server];
+    const auto owner = limitOwnerOf(gateways, request.server, now);
+    OwnedLimit &owned = ownedLimits_[request.server];
     // Without a word of the others, each of as many as there may be grants itself its part.
-    if (!keeper) {
-        const double share = usedAlone / gatewaysReckoned(context_.retryBounds);
-        return takeOwn(answerAlone(kept, question, share, context_.draw(), now), now);
+    if (!owner) {
+        const double share = usedAlone / assumedGateways(context_.retryQuota);
+        return applyOwnReply(answerWithoutPeers(owned, request, share, context_.randomUnit(), now),
+                             now);
     }
-    if (*keeper == directory_.self())
-        return takeOwn(answerQuestion(kept, question, now), now);
-    send(gateways.at(*keeper), question, now);
-    tryAgain(question, now);
+    if (*owner == directory_.self())
+        return applyOwnReply(answerPermitRequest(owned, request, now), now);
+    send(gateways.at(*owner), request, now);
+    probeUnresponsive(request, now);
     return false;
 }
 
 /// Asks silent gateways whether they are back; one that is keeps its limits again.
-void LimitPermits::tryAgain(const PermitQuestion &question, TimePoint now)
+void LimitPermits::probeUnresponsive(const PermitRequest &request, TimePoint now)
 {
-    const PermitQuestion nothing{.server = question.server, .word = question.word};
+    const PermitRequest nothing{.server = request.server, .advertised = request.advertised};
     for (auto &[name, gateway] : directory_.gateways()) {
-        if (shouldTryAgain(gateway, now))
+        if (shouldProbe(gateway, now))
             send(gateway, nothing, now);
     }
 }
 
-void LimitPermits::send(PeerGateway &gateway, const PermitQuestion &question, TimePoint now)
+void LimitPermits::send(PeerGateway &gateway, const PermitRequest &request, TimePoint now)
 {
-    const bool wasSilent = isSilent(gateway, now);
-    noteAsked(gateway, now);
-    if (!wasSilent && isSilent(gateway, now))
+    const bool wasUnresponsive = isUnresponsive(gateway, now);
+    noteRequestSent(gateway, now);
+    if (!wasUnresponsive && isUnresponsive(gateway, now))
         context_.log.warn("gateway.silent", {{"address", toText(gateway.address)}});
-    peers_.send(gateway.address,
-                encodeMessage(PermitAsked{.server = question.server,
-                                          .wanted = question.wanted,
-                                          .number = question.number,
-                                          .perSecond = question.word.perSecond,
-                                          .ageMilliseconds = ageOf(question.word, now)}));
+    peers_.send(
+        gateway.address,
+        encodeMessage(PermitRequestMessage{.server = request.server,
+                                           .wanted = request.wanted,
+                                           .number = request.number,
+                                           .perSecond = request.advertised.perSecond,
+                                           .ageMilliseconds = ageOf(request.advertised, now)}));
 }
 
-bool LimitPermits::takeOwn(const PermitAnswer &answer, TimePoint now)
+bool LimitPermits::applyOwnReply(const PermitReply &reply, TimePoint now)
 {
-    return takeAnswer(context_.board.limits, answer, now);
+    return applyPermitReply(context_.registry.limits, reply, now);
 }
 
-void LimitPermits::take(const Endpoint &from, const PermitAsked &asked, TimePoint now)
+void LimitPermits::receive(const Endpoint &from, const PermitRequestMessage &message, TimePoint now)
 {
-    const PermitQuestion question{.server = asked.server,
-                                  .wanted = asked.wanted,
-                                  .number = asked.number,
-                                  .word = wordOf(asked.perSecond, asked.ageMilliseconds, now)};
-    const PermitAnswer answer = answerQuestion(kept_[asked.server], question, now);
+    const PermitRequest request{
+        .server = message.server,
+        .wanted = message.wanted,
+        .number = message.number,
+        .advertised = advertisedLimitOf(message.perSecond, message.ageMilliseconds, now)};
+    const PermitReply reply = answerPermitRequest(ownedLimits_[message.server], request, now);
     peers_.send(from,
-                encodeMessage(PermitTold{.server = answer.server,
-                                         .number = answer.number,
-                                         .granted = answer.granted,
-                                         .nextInMilliseconds =
-                                             static_cast<std::uint32_t>(answer.nextIn.count()),
-                                         .perSecond = answer.word.perSecond,
-                                         .ageMilliseconds = ageOf(answer.word, now)}));
+                encodeMessage(PermitReplyMessage{
+                    .server = reply.server,
+                    .number = reply.number,
+                    .granted = reply.granted,
+                    .nextInMilliseconds = static_cast<std::uint32_t>(reply.nextIn.count()),
+                    .perSecond = reply.advertised.perSecond,
+                    .ageMilliseconds = ageOf(reply.advertised, now)}));
 }
 
-bool LimitPermits::take(const Endpoint &from, const PermitTold &told, TimePoint now)
+bool LimitPermits::receive(const Endpoint &from, const PermitReplyMessage &message, TimePoint now)
 {
-    noteHeard(directory_.gateways(), from);
-    const PermitAnswer answer{.server = told.server,
-                              .number = told.number,
-                              .granted = told.granted,
-                              .nextIn = milliseconds(told.nextInMilliseconds),
-                              .word = wordOf(told.perSecond, told.ageMilliseconds, now)};
-    return takeAnswer(context_.board.limits, answer, now);
+    noteMessageReceived(directory_.gateways(), from);
+    const PermitReply reply{.server = message.server,
+                            .number = message.number,
+                            .granted = message.granted,
+                            .nextIn = milliseconds(message.nextInMilliseconds),
+                            .advertised =
+                                advertisedLimitOf(message.perSecond, message.ageMilliseconds, now)};
+    return applyPermitReply(context_.registry.limits, reply, now);
 }
 
 } // namespace wisteria
--- a/Source/Programs/Gateway/Session.h
+++ b/Source/Programs/Gateway/Session.h
@@ -13,11 +13,11 @@
 struct SessionEvents
 {
     /// The connection is over; the session may be destroyed.
-    std::function<void()> over;
+    std::function<void()> closed;
     /// A request waits for a place.
-    std::function<void()> waits;
+    std::function<void()> queued;
     /// A place may be free.
-    std::function<void()> freed;
+    std::function<void()> slotFreed;
     /// The gateway is stopping: each answer is the connection's last.
     std::function<bool()> stopping;
 };
@@ -31,7 +31,7 @@
 
     Exchange *exchange() { return exchange_.get(); }
     bool idle() const { return !exchange_ && !early_; }
-    void checkTime(TimePoint now);
+    void checkTimeouts(TimePoint now);
     /// Closes a connection on which no request is under way.
     void closeIdle();
 
@@ -58,7 +58,7 @@
     void beginStream(int status, const HttpFields &fields) override;
     void sendStream(std::string_view bytes) override;
     void endStream() override;
-    void breakOff() override;
+    void abort() override;
     std::size_t queued() const override { return connection_.queued(); }
 
     GatewayContext &context_;
--- a/Source/Programs/Gateway/SidecarHellos.cpp
+++ b/Source/Programs/Gateway/SidecarHellos.cpp
@@ -18,14 +18,14 @@
 {
     constexpr double bitsPerByte = 8;
     constexpr double millisecondsPerSecond = 1000;
-    const double loadSeconds = engine.linkMegabitsPerSecond > 0
+    const double copySeconds = engine.linkMegabitsPerSecond > 0
         ? engine.expertMegabytes * bitsPerByte / engine.linkMegabitsPerSecond
         : 0;
     return {.sets = engine.expertSets,
             .expertsPerSet = engine.expertsPerSet,
             .expertsPerRank = engine.expertsPerRank,
-            .loadsPerMap = engine.loadsPerMap,
-            .loadMilliseconds = loadSeconds * millisecondsPerSecond};
+            .copiesPerMap = engine.copiesPerMap,
+            .copyMilliseconds = copySeconds * millisecondsPerSecond};
 }
 
 } // namespace
@@ -35,51 +35,51 @@
     : context_(context), peers_(peers), port_(port)
 { }
 
-void SidecarHellos::say(TimePoint now)
+void SidecarHellos::sendDue(TimePoint now)
 {
     if (!context_.canAdmit())
         return;
-    const bool toAll = now - saidToAllAt_ >= helloPeriod;
-    if (!toAll && now - saidAt_ < firstHelloPeriod)
+    const bool toAll = now - sentToAllAt_ >= helloPeriod;
+    if (!toAll && now - sentAt_ < firstHelloPeriod)
         return;
-    saidAt_ = now;
+    sentAt_ = now;
     if (toAll)
-        saidToAllAt_ = now;
+        sentToAllAt_ = now;
     for (const auto &[name, service] : context_.routes->configuration().services) {
         if (isGroup(service))
-            sayTo(name, *service.engine, toAll, now);
+            sendHello(name, *service.engine, toAll, now);
     }
 }
 
 /// @param toAll To all sidecars, or to those only that have not answered yet.
-void SidecarHellos::sayTo(const std::string &service, const EngineProfile &engine, bool toAll,
-                          TimePoint now)
+void SidecarHellos::sendHello(const std::string &service, const EngineProfile &engine, bool toAll,
+                              TimePoint now)
 {
-    const std::vector<Endpoint> unheard = unheardEngines(service, now);
-    if (!toAll && unheard.empty())
+    const std::vector<Endpoint> silent = silentEngines(service, now);
+    if (!toAll && silent.empty())
         return;
     const EngineList list = engineListOf(service, engine);
     const std::string bytes = encodeMessage(GatewayHello{.listDigest = digestOf(list)});
-    for (const Endpoint &address : toAll ? list.engines : unheard)
+    for (const Endpoint &address : toAll ? list.engines : silent)
         peers_.send({address.ip, port_}, bytes);
 }
 
-std::vector<Endpoint> SidecarHellos::unheardEngines(const std::string &service, TimePoint now) const
+std::vector<Endpoint> SidecarHellos::silentEngines(const std::string &service, TimePoint now) const
 {
-    std::vector<Endpoint> unheard;
-    for (const auto &[id, state] : context_.board.backends) {
-        const bool awaited = !state.told && now - state.since < firstHellosFor;
+    std::vector<Endpoint> silent;
+    for (const auto &[id, state] : context_.registry.backends) {
+        const bool awaited = !state.reportedLoad && now - state.since < firstHellosFor;
         if (awaited && state.entry.service == service && !state.replaced)
-            unheard.push_back(state.entry.address);
+            silent.push_back(state.entry.address);
     }
-    return unheard;
+    return silent;
 }
 
 EngineList SidecarHellos::engineListOf(const std::string &service,
                                        const EngineProfile &engine) const
 {
     EngineList list{.profile = expertProfileOf(engine), .engines = {}};
-    for (const auto &[id, state] : context_.board.backends) {
+    for (const auto &[id, state] : context_.registry.backends) {
         if (state.entry.service == service && !state.replaced)
             list.engines.push_back(state.entry.address);
     }
@@ -88,16 +88,16 @@
     return list;
 }
 
-void SidecarHellos::tellList(const Endpoint &sidecar)
+void SidecarHellos::sendEngineList(const Endpoint &sidecar)
 {
     if (!context_.routes)
         return;
-    const auto beside = std::find_if(context_.board.backends.begin(), context_.board.backends.end(),
-                                     [&sidecar](const auto &entry) {
-                                         return entry.second.entry.address.ip == sidecar.ip
-                                             && !entry.second.replaced;
-                                     });
-    if (beside == context_.board.backends.end())
+    const auto beside = std::find_if(
+        context_.registry.backends.begin(), context_.registry.backends.end(),
+        [&sidecar](const auto &entry) {
+            return entry.second.entry.address.ip == sidecar.ip && !entry.second.replaced;
+        });
+    if (beside == context_.registry.backends.end())
         return;
     const std::string &name = beside->second.entry.service;
     const auto &services = context_.routes->configuration().services;
--- a/Source/Programs/Sidecar/GroupLeader.cpp
+++ b/Source/Programs/Sidecar/GroupLeader.cpp
@@ -5,7 +5,7 @@
 
 #include "Programs/Sidecar/SidecarMetrics.h"
 #include "Version/GroupDemand.h"
-#include "Version/GroupViews.h"
+#include "Version/GroupQueries.h"
 
 namespace wisteria {
 
@@ -56,7 +56,7 @@
 bool sameMessage(const SwitchAction &a, const SwitchAction &b)
 {
     return a.order.kind == b.order.kind && a.order.version == b.order.version
-        && a.order.step == b.order.step && a.asChanges == b.asChanges;
+        && a.order.pass == b.order.pass && a.asChanges == b.asChanges;
 }
 
 /// For how long a phase of the present switch lasted so far, in milliseconds.
@@ -67,10 +67,11 @@
 
 } // namespace
 
-GroupLeader::GroupLeader(EngineLink &engines, EventLog &log, Metrics &metrics, LeaderLinks links,
-                         const RelayLink &link, Endpoint ownEngine)
-    : engines_(engines), log_(log), metrics_(metrics), links_(std::move(links)), link_(link),
-      ownEngine_(ownEngine)
+GroupLeader::GroupLeader(EngineClient &engines, EventLog &log, Metrics &metrics,
+                         LeaderTransport transport, const LinkBandwidth &bandwidth,
+                         Endpoint ownEngine)
+    : engines_(engines), log_(log), metrics_(metrics), transport_(std::move(transport)),
+      bandwidth_(bandwidth), ownEngine_(ownEngine)
 { }
 
 void GroupLeader::setEngines(const std::vector<Endpoint> &engines, const ExpertProfile &profile)
@@ -78,26 +79,26 @@
     members_ = engines;
     profile_ = profile;
     const std::size_t bytes = encodedCountsBytes(std::size_t{profile.sets} * profile.expertsPerSet);
-    const milliseconds gathered = gatherTime(engines.size(), bytes, link_);
+    const milliseconds gathered = gatherTime(engines.size(), bytes, bandwidth_);
     timing_.countsWindow = gathered + countsDelay;
     countsPeriod_ = std::max(
         countsPeriod, std::chrono::duration_cast<milliseconds>(gathered * countsPeriodShare));
 }
 
-void GroupLeader::takeStatus(const RankStatus &status, TimePoint now)
+void GroupLeader::applyStatus(const RankStatus &status, TimePoint now)
 {
-    heardAt_[status.engine] = now;
+    lastReceivedAt_[status.engine] = now;
     if (status.report.group.empty())
         return;
-    wisteria::takeStatus(groups_[status.report.group], status, now);
+    wisteria::applyStatus(groups_[status.report.group], status, now);
 }
 
-void GroupLeader::takeCounts(const CountsTold &told, TimePoint now)
+void GroupLeader::applyCounts(const CountsReply &reply, TimePoint now)
 {
-    const auto group = groups_.find(told.group);
+    const auto group = groups_.find(reply.group);
     if (group == groups_.end())
         return;
-    takeDemand(group->second, profile_, timing_, told, now);
+    addDemand(group->second, profile_, timing_, reply, now);
 }
 
 void GroupLeader::work(TimePoint now)
@@ -118,18 +119,18 @@
 void GroupLeader::stop()
 {
     for (auto &[name, group] : groups_)
-        forgetRanks(group);
-    heardAt_.clear();
+        resetRanks(group);
+    lastReceivedAt_.clear();
     leadsSince_ = TimePoint();
 }
 
 void GroupLeader::poll(TimePoint now)
 {
     pollRanks(now);
-    if (now - askedCountsAt_ < countsPeriod_)
+    if (now - requestedCountsAt_ < countsPeriod_)
         return;
-    askedCountsAt_ = now;
-    links_.askCounts(lastHeardFirst(members_));
+    requestedCountsAt_ = now;
+    transport_.requestCounts(mostRecentFirst(members_));
 }
 
 milliseconds GroupLeader::rankPollPeriod() const
@@ -152,19 +153,20 @@
         const std::vector<std::uint64_t> known = knownMaps(group);
         poll.knownMaps.insert(poll.knownMaps.end(), known.begin(), known.end());
     }
-    links_.sendAll(members_, poll);
+    transport_.sendAll(members_, poll);
 }
 
 /// Puts the engines first that are surely there: they may have to pass messages on.
-std::vector<Endpoint> GroupLeader::lastHeardFirst(std::vector<Endpoint> engines) const
+std::vector<Endpoint> GroupLeader::mostRecentFirst(std::vector<Endpoint> engines) const
 {
-    const auto heardAt = [this](const Endpoint &engine) {
-        const auto found = heardAt_.find(engine);
-        return found == heardAt_.end() ? TimePoint() : found->second;
+    const auto lastReceivedAt = [this](const Endpoint &engine) {
+        const auto found = lastReceivedAt_.find(engine);
+        return found == lastReceivedAt_.end() ? TimePoint() : found->second;
     };
-    std::stable_sort(
-        engines.begin(), engines.end(),
-        [&heardAt](const Endpoint &a, const Endpoint &b) { return heardAt(a) > heardAt(b); });
+    std::stable_sort(engines.begin(), engines.end(),
+                     [&lastReceivedAt](const Endpoint &a, const Endpoint &b) {
+                         return lastReceivedAt(a) > lastReceivedAt(b);
+                     });
     return engines;
 }
 
@@ -177,12 +179,12 @@
     // Versions and holders are told apart by the rank beside the leader.
     if (own == group.ranks.end())
         return;
-    const SwitchStep step =
+    const SwitchUpdate update =
         advanceSwitch(group, profile_, bounds_, timing_,
                       {.rank = own->first, .versionTick = versionTickNow()}, now);
-    if (step.note != SwitchNote::Nothing)
-        noteStep(group, step.note, now);
-    carryOut(group.group, step.actions);
+    if (update.event != SwitchEvent::Nothing)
+        logEvent(group, update.event, now);
+    carryOut(group.group, update.actions);
 }
 
 void GroupLeader::carryOut(const std::string &name, const std::vector<SwitchAction> &actions)
@@ -201,7 +203,7 @@
         batch.engines.push_back(action.engine);
     }
     for (const Batch &batch : batches)
-        links_.sendAll(lastHeardFirst(batch.engines), commandFor(name, *batch.first));
+        transport_.sendAll(mostRecentFirst(batch.engines), commandFor(name, *batch.first));
 }
 
 void GroupLeader::orderDirectly(const std::string &name, const SwitchAction &action)
@@ -211,7 +213,7 @@
                {"kind", orderName(action.order.kind)},
                {"rank", action.rank},
                {"version", action.order.version},
-               {"step", action.order.step}});
+               {"step", action.order.pass}});
     const RankOrder order = commandFor(name, action).order;
     engines_.order(action.engine, order, [this, name, action](Result<void> result) {
         const auto group = groups_.find(name);
@@ -247,7 +249,7 @@
         return;
     directRoundAt_ = now;
     std::vector<Endpoint> silent = silentEngines(now);
-    noteTouch(silent.size());
+    noteReachability(silent.size());
     const std::size_t asked = std::min(silent.size(), directReadsAtOnce);
     // Each in its turn, so that one that never answers does not keep the others waiting.
     const auto askedBefore = [this](const Endpoint &a, const Endpoint &b) {
@@ -264,8 +266,8 @@
 {
     std::vector<Endpoint> silent;
     for (const Endpoint &engine : members_) {
-        const auto heard = heardAt_.find(engine);
-        if (heard == heardAt_.end() || now - heard->second > silentAfter)
+        const auto received = lastReceivedAt_.find(engine);
+        if (received == lastReceivedAt_.end() || now - received->second > silentAfter)
             silent.push_back(engine);
     }
     return silent;
@@ -273,13 +275,13 @@
 
 /// Tells when the leader begins and ceases to hear fewer than half of the ranks: it is then its own
 /// link or processor that is behind, or all others have stopped.
-void GroupLeader::noteTouch(std::size_t silent)
+void GroupLeader::noteReachability(std::size_t silent)
 {
-    const bool outOfTouch = silent > members_.size() / 2;
-    if (outOfTouch == outOfTouch_)
+    const bool isolated = silent > members_.size() / 2;
+    if (isolated == isolated_)
         return;
-    outOfTouch_ = outOfTouch;
-    log_.warn(outOfTouch ? "leader.out_of_touch" : "leader.in_touch",
+    isolated_ = isolated;
+    log_.warn(isolated ? "leader.out_of_touch" : "leader.in_touch",
               {{"members", members_.size()}, {"silent", silent}});
 }
 
@@ -305,7 +307,7 @@
         }
         status.readAtMilliseconds = known->second.status.readAtMilliseconds;
         status.experts = known->second.status.experts;
-        wisteria::takeStatus(group->second, status, monotonicNow());
+        wisteria::applyStatus(group->second, status, monotonicNow());
     });
 }
 
@@ -322,29 +324,29 @@
         if (group == groups_.end())
             return;
         status.experts = experts.value();
-        wisteria::takeStatus(group->second, status, monotonicNow());
+        wisteria::applyStatus(group->second, status, monotonicNow());
     });
 }
 
-void GroupLeader::noteStep(const GroupSwitch &group, SwitchNote note, TimePoint now)
+void GroupLeader::logEvent(const GroupSwitch &group, SwitchEvent event, TimePoint now)
 {
-    countSwitchStep(metrics_, group, note, now);
+    countSwitchEvent(metrics_, group, event, now);
     LogFields fields = {{"group", group.group},
-                        {"note", noteText(note)},
+                        {"note", eventText(event)},
                         {"phase", phaseName(group.phase)},
                         {"epoch", group.epoch},
                         {"version", group.version},
-                        {"step", group.step},
+                        {"step", group.pass},
                         {"skew_before", group.proposal.skewBefore},
                         {"skew_after", group.proposal.skewAfter},
-                        {"loads", group.proposal.loads},
+                        {"loads", group.proposal.copies},
                         {"searched_terms", group.proposal.searchedTerms},
                         {"preparing_ms", phaseTime(group, SwitchPhase::Preparing)},
                         {"holding_ms", phaseTime(group, SwitchPhase::Holding)},
                         {"arming_ms", phaseTime(group, SwitchPhase::Arming)},
                         {"releasing_ms", phaseTime(group, SwitchPhase::Releasing)}};
-    if (group.shiftSeenAt)
-        fields["since_shift_ms"] = remaining(*group.shiftSeenAt, now).count();
+    if (group.demandShiftedAt)
+        fields["since_shift_ms"] = remaining(*group.demandShiftedAt, now).count();
     log_.info("map.switch", fields);
 }
 
--- a/Source/Request/ServerLimit.cpp
+++ b/Source/Request/ServerLimit.cpp
@@ -11,170 +11,178 @@
 /// with all that are granted later.
 constexpr milliseconds permitLifetime{500};
 /// How long a permit is asked for after a request wanted one.
-constexpr milliseconds wishLifetime{75};
+constexpr milliseconds wantedLifetime{75};
 /// Time for an answer of the keeper, after which it is asked again.
 constexpr milliseconds answerTime{100};
 /// Pauses between two questions of one gateway about one server that has no request to grant.
-constexpr milliseconds leastPause{25};
-constexpr milliseconds longestPause{250};
+constexpr milliseconds minPause{25};
+constexpr milliseconds maxPause{250};
 /// Requests that are granted at once after a time without any.
 constexpr double burst = 2;
 /// Requests a second that are granted whatever the limit: one that is none would never be known to
 /// have ended.
-constexpr double leastPerSecond = 0.2;
+constexpr double minPerSecond = 0.2;
 /// Without a question for this long nobody waits for a permit.
 constexpr milliseconds quietAfter{1000};
-constexpr std::chrono::minutes wordLifetime{5};
+constexpr std::chrono::minutes advertisedLimitLifetime{5};
 
 bool holdsPermit(const ServerLimit &limit, TimePoint now)
 {
     return limit.permits > 0 && now < limit.permitsUntil;
 }
 
-void refill(KeptLimit &kept, double perSecond, TimePoint now)
+void refill(OwnedLimit &owned, double perSecond, TimePoint now)
 {
-    if (kept.refilledAt == TimePoint())
-        kept.refilledAt = now;
-    const double passed = std::chrono::duration<double>(now - kept.refilledAt).count();
-    kept.tokens = std::min(burst, kept.tokens + std::max(0.0, passed) * perSecond);
-    kept.refilledAt = now;
+    if (owned.refilledAt == TimePoint())
+        owned.refilledAt = now;
+    const double passed = std::chrono::duration<double>(now - owned.refilledAt).count();
+    owned.tokens = std::min(burst, owned.tokens + std::max(0.0, passed) * perSecond);
+    owned.refilledAt = now;
 }
 
-milliseconds timeToToken(const KeptLimit &kept, double perSecond)
+milliseconds timeToToken(const OwnedLimit &owned, double perSecond)
 {
     constexpr double millisecondsPerSecond = 1000;
     return milliseconds(
-        std::lround(std::max(0.0, 1 - kept.tokens) / perSecond * millisecondsPerSecond));
+        std::lround(std::max(0.0, 1 - owned.tokens) / perSecond * millisecondsPerSecond));
 }
 
 /// @param share The part of the limit that is granted here.
-PermitAnswer answerWithin(KeptLimit &kept, const PermitQuestion &question, double share,
-                          TimePoint now)
-{
-    takeWord(kept.word, question.word);
-    PermitAnswer answer{.server = question.server, .number = question.number, .word = kept.word};
-    if (!kept.word.perSecond)
-        return answer;
-    const double perSecond = std::max(leastPerSecond, *kept.word.perSecond) * share;
-    refill(kept, perSecond, now);
-    answer.granted = question.wanted && kept.tokens >= 1;
-    if (answer.granted)
-        kept.tokens -= 1;
-    answer.nextIn = timeToToken(kept, perSecond);
-    return answer;
+PermitReply answerWithin(OwnedLimit &owned, const PermitRequest &request, double share,
+                         TimePoint now)
+{
+    updateLimit(owned.advertised, request.advertised);
+    PermitReply reply{
+        .server = request.server, .number = request.number, .advertised = owned.advertised};
+    if (!owned.advertised.perSecond)
+        return reply;
+    const double perSecond = std::max(minPerSecond, *owned.advertised.perSecond) * share;
+    refill(owned, perSecond, now);
+    reply.granted = request.wanted && owned.tokens >= 1;
+    if (reply.granted)
+        owned.tokens -= 1;
+    reply.nextIn = timeToToken(owned, perSecond);
+    return reply;
 }
 
 } // namespace
 
-bool takeWord(LimitWord &known, const LimitWord &word)
+bool updateLimit(AdvertisedLimit &known, const AdvertisedLimit &advertised)
 {
-    if (word.heardAt < known.heardAt)
+    if (advertised.receivedAt < known.receivedAt)
         return false;
-    const bool changes = known.perSecond != word.perSecond;
-    known = word;
+    const bool changes = known.perSecond != advertised.perSecond;
+    known = advertised;
     return changes;
 }
 
-bool noteWord(ServerLimits &limits, const std::string &id, const LimitWord &word)
+bool noteAdvertisedLimit(ServerLimits &limits, const std::string &id,
+                         const AdvertisedLimit &advertised)
 {
     const auto found = limits.find(id);
-    if (found == limits.end() && !word.perSecond)
+    if (found == limits.end() && !advertised.perSecond)
         return false;
     ServerLimit &limit = limits[id];
-    if (!takeWord(limit.word, word))
+    if (!updateLimit(limit.advertised, advertised))
         return false;
-    limit.untold = true;
+    limit.ownerNotInformed = true;
     return true;
 }
 
 bool isPermitted(const ServerLimits &limits, const std::string &id, TimePoint now)
 {
     const auto found = limits.find(id);
-    return found == limits.end() || !found->second.word.perSecond
+    return found == limits.end() || !found->second.advertised.perSecond
         || holdsPermit(found->second, now);
 }
 
-void takePermit(ServerLimits &limits, const std::string &id, TimePoint now)
+void consumePermit(ServerLimits &limits, const std::string &id, TimePoint now)
 {
     const auto found = limits.find(id);
     if (found != limits.end() && holdsPermit(found->second, now))
         --found->second.permits;
 }
 
-void wantPermit(ServerLimits &limits, const std::string &id, TimePoint now)
+void markPermitWanted(ServerLimits &limits, const std::string &id, TimePoint now)
 {
     const auto found = limits.find(id);
     if (found != limits.end())
-        found->second.wantedUntil = now + wishLifetime;
+        found->second.wantedUntil = now + wantedLifetime;
 }
 
 std::size_t limitsInForce(const ServerLimits &limits)
 {
     return static_cast<std::size_t>(
-        std::count_if(limits.begin(), limits.end(),
-                      [](const auto &entry) { return entry.second.word.perSecond.has_value(); }));
+        std::count_if(limits.begin(), limits.end(), [](const auto &entry) {
+            return entry.second.advertised.perSecond.has_value();
+        }));
 }
 
-std::optional<PermitQuestion> questionDue(ServerLimits &limits, const std::string &id,
-                                          TimePoint now)
+std::optional<PermitRequest> nextPermitRequest(ServerLimits &limits, const std::string &id,
+                                               TimePoint now)
 {
     ServerLimit &limit = limits[id];
-    const bool wanted = now < limit.wantedUntil && limit.word.perSecond && !holdsPermit(limit, now);
-    if ((!wanted || now < limit.askAgainAt) && !limit.untold)
+    const bool wanted =
+        now < limit.wantedUntil && limit.advertised.perSecond && !holdsPermit(limit, now);
+    if ((!wanted || now < limit.nextRequestAt) && !limit.ownerNotInformed)
         return std::nullopt;
-    limit.untold = false;
-    limit.askedAt = now;
-    limit.open = true;
-    limit.askAgainAt = now + answerTime;
-    return PermitQuestion{
-        .server = id, .wanted = wanted, .number = ++limit.asked, .word = limit.word};
+    limit.ownerNotInformed = false;
+    limit.requestedAt = now;
+    limit.awaitingReply = true;
+    limit.nextRequestAt = now + answerTime;
+    return PermitRequest{.server = id,
+                         .wanted = wanted,
+                         .number = ++limit.requestNumber,
+                         .advertised = limit.advertised};
 }
 
-bool takeAnswer(ServerLimits &limits, const PermitAnswer &answer, TimePoint now)
+bool applyPermitReply(ServerLimits &limits, const PermitReply &reply, TimePoint now)
 {
-    const auto found = limits.find(answer.server);
+    const auto found = limits.find(reply.server);
     if (found == limits.end())
         return false;
     ServerLimit &limit = found->second;
-    const bool ended = takeWord(limit.word, answer.word) && !limit.word.perSecond;
-    if (!limit.open || answer.number != limit.asked)
+    const bool ended =
+        updateLimit(limit.advertised, reply.advertised) && !limit.advertised.perSecond;
+    if (!limit.awaitingReply || reply.number != limit.requestNumber)
         return ended;
-    limit.open = false;
-    limit.nextPermitAt = now + answer.nextIn;
-    limit.askAgainAt = now + std::clamp(answer.nextIn, leastPause, longestPause);
-    if (answer.granted) {
+    limit.awaitingReply = false;
+    limit.nextPermitAt = now + reply.nextIn;
+    limit.nextRequestAt = now + std::clamp(reply.nextIn, minPause, maxPause);
+    if (reply.granted) {
         limit.permits = 1;
         limit.wantedUntil = TimePoint();
-        limit.permitsUntil = limit.askedAt + permitLifetime;
+        limit.permitsUntil = limit.requestedAt + permitLifetime;
     }
-    return ended || answer.granted;
+    return ended || reply.granted;
 }
 
-bool isOld(const LimitWord &word, TimePoint now)
+bool isExpired(const AdvertisedLimit &advertised, TimePoint now)
 {
-    return now - word.heardAt > wordLifetime;
+    return now - advertised.receivedAt > advertisedLimitLifetime;
 }
 
-PermitAnswer answerQuestion(KeptLimit &kept, const PermitQuestion &question, TimePoint now)
+PermitReply answerPermitRequest(OwnedLimit &owned, const PermitRequest &request, TimePoint now)
 {
-    return answerWithin(kept, question, 1, now);
+    return answerWithin(owned, request, 1, now);
 }
 
-PermitAnswer answerAlone(KeptLimit &kept, const PermitQuestion &question, double share, double draw,
-                         TimePoint now)
+PermitReply answerWithoutPeers(OwnedLimit &owned, const PermitRequest &request, double share,
+                               double randomUnit, TimePoint now)
 {
     // Of what many gateways saved up in a quiet time, each a request, a small limit is exceeded at
     // once. So nothing is saved, and each begins its turn at a moment of its own.
-    if (now - kept.refilledAt > quietAfter) {
-        kept.tokens = draw;
-        kept.refilledAt = now;
+    if (now - owned.refilledAt > quietAfter) {
+        owned.tokens = randomUnit;
+        owned.refilledAt = now;
     }
-    return answerWithin(kept, question, share, now);
+    return answerWithin(owned, request, share, now);
 }
 
-void forgetOldLimits(KeptLimits &kept, TimePoint now)
+void forgetOldLimits(OwnedLimits &owned, TimePoint now)
 {
-    std::erase_if(kept, [now](const auto &entry) { return isOld(entry.second.word, now); });
+    std::erase_if(owned,
+                  [now](const auto &entry) { return isExpired(entry.second.advertised, now); });
 }
 
 } // namespace wisteria
--- a/Source/Version/GroupMessages.cpp
+++ b/Source/Version/GroupMessages.cpp
@@ -21,11 +21,11 @@
     Command = 5,
     Relayed = 6,
     CountsPoll = 7,
-    CountsTold = 8,
+    CountsReply = 8,
     Hello = 9,
-    ListWanted = 10,
-    PermitAsked = 11,
-    PermitTold = 12
+    ListRequest = 10,
+    PermitRequest = 11,
+    PermitReply = 12
 };
 
 Json encode(const Endpoint &endpoint)
@@ -59,16 +59,16 @@
     return {MessageKind::Hello, hello.listDigest};
 }
 
-Json encode(const EngineListWanted &)
+Json encode(const EngineListRequest &)
 {
-    return Json::array({MessageKind::ListWanted});
+    return Json::array({MessageKind::ListRequest});
 }
 
 Json encode(const EngineList &list)
 {
     const ExpertProfile &profile = list.profile;
-    return {MessageKind::List,      profile.sets,        profile.expertsPerSet,
-            profile.expertsPerRank, profile.loadsPerMap, profile.loadMilliseconds,
+    return {MessageKind::List,      profile.sets,         profile.expertsPerSet,
+            profile.expertsPerRank, profile.copiesPerMap, profile.copyMilliseconds,
             encode(list.engines)};
 }
 
@@ -78,14 +78,14 @@
     list.profile = {.sets = json.at(1).get<std::uint32_t>(),
                     .expertsPerSet = json.at(2).get<std::uint32_t>(),
                     .expertsPerRank = json.at(3).get<std::uint32_t>(),
-                    .loadsPerMap = json.at(4).get<std::uint32_t>(),
-                    .loadMilliseconds = json.at(5).get<double>()};
+                    .copiesPerMap = json.at(4).get<std::uint32_t>(),
+                    .copyMilliseconds = json.at(5).get<double>()};
     list.engines = decodeEndpoints(json.at(6));
     return list;
 }
 
 /// Paces travel as whole hundredths: a number with a fraction takes nine bytes.
-constexpr double paceUnit = 0.01;
+constexpr double slowdownUnit = 0.01;
 
 Json encode(const EngineLoad &load)
 {
@@ -95,7 +95,7 @@
             load.waiting,
             load.open,
             load.gateways,
-            static_cast<std::uint32_t>(std::lround(load.pace / paceUnit))};
+            static_cast<std::uint32_t>(std::lround(load.slowdown / slowdownUnit))};
 }
 
 EngineLoad decodeLoad(const Json &json)
@@ -103,7 +103,7 @@
     return {.engine = decodeEndpoint(json.at(1)),
             .running = json.at(2).get<std::uint32_t>(),
             .waiting = json.at(3).get<std::uint32_t>(),
-            .pace = json.at(6).get<std::uint32_t>() * paceUnit,
+            .slowdown = json.at(6).get<std::uint32_t>() * slowdownUnit,
             .open = json.at(4).get<bool>(),
             .gateways = json.at(5).get<std::uint32_t>()};
 }
@@ -117,13 +117,13 @@
             report.rank,
             report.groupSize,
             report.groupOpen,
-            report.step,
+            report.pass,
             report.map,
             report.prepared,
             report.armed,
-            report.armedStep,
-            report.heldStep.value_or(0),
-            report.pace};
+            report.armedPass,
+            report.heldPass.value_or(0),
+            report.slowdown};
 }
 
 RankReport decodeReport(const Json &json)
@@ -136,14 +136,14 @@
     report.rank = json.at(4).get<std::uint32_t>();
     report.groupSize = json.at(5).get<std::uint32_t>();
     report.groupOpen = json.at(6).get<bool>();
-    report.step = json.at(7).get<std::uint64_t>();
+    report.pass = json.at(7).get<std::uint64_t>();
     report.map = json.at(8).get<std::uint64_t>();
     report.prepared = json.at(9).get<std::uint64_t>();
     report.armed = json.at(10).get<std::uint64_t>();
-    report.armedStep = json.at(11).get<std::uint64_t>();
+    report.armedPass = json.at(11).get<std::uint64_t>();
     if (const auto held = json.at(12).get<std::uint64_t>(); held != 0)
-        report.heldStep = held;
-    report.pace = json.at(13).get<double>();
+        report.heldPass = held;
+    report.slowdown = json.at(13).get<double>();
     return report;
 }
 
@@ -237,19 +237,19 @@
     for (const RankMapChange &change : command.changes)
         changes.push_back(Json::array({change.set, change.rank, change.experts}));
     return {MessageKind::Command, order.kind, order.epoch,  order.version,
-            order.step,           order.map,  command.base, std::move(changes)};
+            order.pass,           order.map,  command.base, std::move(changes)};
 }
 
 RankCommand decodeCommand(const Json &json)
 {
     RankCommand command;
     const auto kind = json.at(1).get<int>();
-    if (kind < 0 || kind > static_cast<int>(RankOrderKind::Go))
+    if (kind < 0 || kind > static_cast<int>(RankOrderKind::Release))
         throw std::out_of_range("unknown order");
     command.order = {.kind = static_cast<RankOrderKind>(kind),
                      .epoch = json.at(2).get<std::uint64_t>(),
                      .version = json.at(3).get<std::uint64_t>(),
-                     .step = json.at(4).get<std::uint64_t>(),
+                     .pass = json.at(4).get<std::uint64_t>(),
                      .map = json.at(5).get<RankMap>()};
     command.base = json.at(6).get<std::uint64_t>();
     for (const Json &change : json.at(7)) {
@@ -274,7 +274,7 @@
             .message = std::string(bytes.begin(), bytes.end())};
 }
 
-CountsTold decodeCountsTold(const Json &json)
+CountsReply decodeCountsReply(const Json &json)
 {
     return {.group = json.at(1).get<std::string>(),
             .epoch = json.at(2).get<std::uint64_t>(),
@@ -298,13 +298,13 @@
     return perSecond;
 }
 
-Json encode(const PermitAsked &asked)
+Json encode(const PermitRequestMessage &message)
 {
-    return {MessageKind::PermitAsked, asked.server,         asked.wanted, asked.number,
-            encode(asked.perSecond),  asked.ageMilliseconds};
+    return {MessageKind::PermitRequest, message.server,         message.wanted, message.number,
+            encode(message.perSecond),  message.ageMilliseconds};
 }
 
-PermitAsked decodePermitAsked(const Json &json)
+PermitRequestMessage decodePermitRequest(const Json &json)
 {
     return {.server = json.at(1).get<std::string>(),
             .wanted = json.at(2).get<bool>(),
@@ -313,18 +313,18 @@
             .ageMilliseconds = json.at(5).get<std::uint32_t>()};
 }
 
-Json encode(const PermitTold &told)
+Json encode(const PermitReplyMessage &message)
 {
-    return {MessageKind::PermitTold,
-            told.server,
-            told.number,
-            told.granted,
-            told.nextInMilliseconds,
-            encode(told.perSecond),
-            told.ageMilliseconds};
+    return {MessageKind::PermitReply,
+            message.server,
+            message.number,
+            message.granted,
+            message.nextInMilliseconds,
+            encode(message.perSecond),
+            message.ageMilliseconds};
 }
 
-PermitTold decodePermitTold(const Json &json)
+PermitReplyMessage decodePermitReply(const Json &json)
 {
     return {.server = json.at(1).get<std::string>(),
             .number = json.at(2).get<std::uint32_t>(),
@@ -339,8 +339,8 @@
     switch (static_cast<MessageKind>(json.at(0).get<int>())) {
     case MessageKind::Hello:
         return GatewayHello{.listDigest = json.at(1).get<std::uint64_t>()};
-    case MessageKind::ListWanted:
-        return EngineListWanted{};
+    case MessageKind::ListRequest:
+        return EngineListRequest{};
     case MessageKind::List:
         return decodeList(json);
     case MessageKind::Load:
@@ -355,12 +355,12 @@
         return decodeRelayed(json);
     case MessageKind::CountsPoll:
         return CountsPoll{.engines = decodeEndpoints(json.at(1))};
-    case MessageKind::CountsTold:
-        return decodeCountsTold(json);
-    case MessageKind::PermitAsked:
-        return decodePermitAsked(json);
-    case MessageKind::PermitTold:
-        return decodePermitTold(json);
+    case MessageKind::CountsReply:
+        return decodeCountsReply(json);
+    case MessageKind::PermitRequest:
+        return decodePermitRequest(json);
+    case MessageKind::PermitReply:
+        return decodePermitReply(json);
     }
     throw std::out_of_range("unknown message");
 }
@@ -375,10 +375,10 @@
     return Json::array({MessageKind::CountsPoll, encode(poll.engines)});
 }
 
-Json encode(const CountsTold &told)
+Json encode(const CountsReply &reply)
 {
-    return {MessageKind::CountsTold,  told.group, told.epoch, told.ranks, told.passes,
-            encodeCounts(told.counts)};
+    return {MessageKind::CountsReply,  reply.group, reply.epoch, reply.ranks, reply.passes,
+            encodeCounts(reply.counts)};
 }
 
 } // namespace
@@ -396,8 +396,8 @@
     boost::hash_combine(digest, profile.sets);
     boost::hash_combine(digest, profile.expertsPerSet);
     boost::hash_combine(digest, profile.expertsPerRank);
-    boost::hash_combine(digest, profile.loadsPerMap);
-    boost::hash_combine(digest, profile.loadMilliseconds);
+    boost::hash_combine(digest, profile.copiesPerMap);
+    boost::hash_combine(digest, profile.copyMilliseconds);
     for (const Endpoint &engine : list.engines) {
         boost::hash_combine(digest, engine.ip);
         boost::hash_combine(digest, engine.port);
--- a/Source/Version/PlacementSearch.cpp
+++ b/Source/Version/PlacementSearch.cpp
@@ -41,7 +41,7 @@
     const std::size_t width = std::min(lookAheadWidth, firstSteps.size());
     for (std::size_t i = 0; i < width; ++i) {
         LayerSearch ahead = search;
-        ahead.take(firstSteps[i]);
+        ahead.apply(firstSteps[i]);
         const std::vector<SearchStep> &secondSteps = ahead.scan();
         if (secondSteps.empty())
             continue;
@@ -77,29 +77,29 @@
     return LayerSearch(group, map, map, problem, limits, budget).skew();
 }
 
-SearchResult improveLayerMap(const RankGroup &group, const LayerMap &present, const LayerMap &start,
+SearchResult improveLayerMap(const RankGroup &group, const LayerMap &current, const LayerMap &start,
                              const SearchProblem &problem, const SearchLimits &limits,
                              SearchBudget &budget)
 {
-    LayerSearch search(group, present, start, problem, limits, budget);
+    LayerSearch search(group, current, start, problem, limits, budget);
     SearchResult result;
     result.map = start;
     result.foundSkew = search.skew();
-    result.presentSkew =
-        start == present ? result.foundSkew : expectedSkew(group, present, problem);
+    result.currentSkew =
+        start == current ? result.foundSkew : expectedSkew(group, current, problem);
     // Every plan lowers the skew, so the search ends; the bound keeps its time in hand as well.
     for (std::uint32_t round = 0; round < limits.maxMoves && budget.terms > 0; ++round) {
         const StepPlan plan = nextSteps(search, limits);
         if (!pays(plan, limits))
             break;
         for (const SearchStep &step : plan.steps)
-            search.take(step);
-        if (countMoves(present, search.map()) > limits.maxMoves)
+            search.apply(step);
+        if (countMoves(current, search.map()) > limits.maxMoves)
             break;
         result.map = search.map();
         result.foundSkew = search.skew();
     }
-    result.moves = countMoves(present, result.map);
+    result.moves = countMoves(current, result.map);
     return result;
 }
 
--- a/Tests/Gateway/LimitPermitsTest.cpp
+++ b/Tests/Gateway/LimitPermitsTest.cpp
@@ -5,8 +5,8 @@
 
 #include <catch2/catch.hpp>
 
-#include "Gateway/BoardEntries.h"
-#include "Request/LimitKeepers.h"
+#include "Gateway/RegistryEntries.h"
+#include "Request/LimitOwners.h"
 #include "Version/GroupMessages.h"
 
 using namespace wisteria;
@@ -43,7 +43,8 @@
             known_["front-" + std::to_string(i)] = {.address = addressOf(i)};
         for (std::size_t i = 0; i < gateways; ++i) {
             gateways_[i].known = known_;
-            noteWord(gateways_[i].limits, server, {.perSecond = perSecond, .heardAt = now_});
+            noteAdvertisedLimit(gateways_[i].limits, server,
+                                {.perSecond = perSecond, .receivedAt = now_});
         }
     }
 
@@ -60,9 +61,10 @@
     /// From now on the server names no limit.
     void endLimit() { perSecond_.reset(); }
     void stand(std::size_t gateway, bool stands) { gateways_[gateway].stands = stands; }
-    std::size_t keeper() const
+    std::size_t owner() const
     {
-        return std::stoul(keeperOf(known_, server, start)->substr(std::string("front-").size()));
+        return std::stoul(
+            limitOwnerOf(known_, server, start)->substr(std::string("front-").size()));
     }
 
     std::size_t sent() const { return sentAt_.size(); }
@@ -72,7 +74,7 @@
     {
         return static_cast<std::size_t>(
             std::count_if(gateways_.begin(), gateways_.end(), [](const Peer &peer) {
-                return peer.limits.at(server).word.perSecond.has_value();
+                return peer.limits.at(server).advertised.perSecond.has_value();
             }));
     }
 
@@ -81,15 +83,15 @@
     {
         ServerLimits limits;
         PeerGateways known;
-        KeptLimit kept;
+        OwnedLimit owned;
         bool stands = false;
     };
     struct Datagram
     {
         std::size_t from = 0;
         std::size_t to = 0;
-        std::optional<PermitQuestion> question{};
-        PermitAnswer answer{};
+        std::optional<PermitRequest> request{};
+        PermitReply reply{};
     };
 
     static Endpoint addressOf(std::size_t gateway)
@@ -97,11 +99,11 @@
         return {static_cast<std::uint32_t>(gateway + 1), 7340};
     }
 
-    double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+    double randomUnit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
     void post(Datagram datagram)
     {
-        if (draw() >= lost_)
+        if (randomUnit() >= lost_)
             posted_.push_back(std::move(datagram));
     }
 
@@ -113,14 +115,14 @@
             Peer &peer = gateways_[datagram.to];
             if (peer.stands)
                 continue;
-            if (datagram.question) {
+            if (datagram.request) {
                 post({.from = datagram.to,
                       .to = datagram.from,
-                      .answer = answerQuestion(peer.kept, *datagram.question, now_)});
+                      .reply = answerPermitRequest(peer.owned, *datagram.request, now_)});
                 continue;
             }
-            noteHeard(peer.known, addressOf(datagram.from));
-            takeAnswer(peer.limits, datagram.answer, now_);
+            noteMessageReceived(peer.known, addressOf(datagram.from));
+            applyPermitReply(peer.limits, datagram.reply, now_);
         }
     }
 
@@ -129,45 +131,45 @@
         Peer &peer = gateways_[index];
         if (peer.stands)
             return;
-        if (draw() < asked * secondsOf(tick))
+        if (randomUnit() < asked * secondsOf(tick))
             arrive(peer);
-        const auto question = questionDue(peer.limits, server, now_);
-        if (!question)
+        const auto request = nextPermitRequest(peer.limits, server, now_);
+        if (!request)
             return;
-        ask(index, *question);
+        requestPermit(index, *request);
         for (auto &[name, gateway] : peer.known) {
-            if (shouldTryAgain(gateway, now_))
-                askPeer(index, name, {.server = server, .word = question->word});
+            if (shouldProbe(gateway, now_))
+                sendRequest(index, name, {.server = server, .advertised = request->advertised});
         }
     }
 
-    void ask(std::size_t index, const PermitQuestion &question)
+    void requestPermit(std::size_t index, const PermitRequest &request)
     {
         Peer &peer = gateways_[index];
-        const std::string name = *keeperOf(peer.known, server, now_);
+        const std::string name = *limitOwnerOf(peer.known, server, now_);
         if (peer.known[name].address == addressOf(index))
-            takeAnswer(peer.limits, answerQuestion(peer.kept, question, now_), now_);
+            applyPermitReply(peer.limits, answerPermitRequest(peer.owned, request, now_), now_);
         else
-            askPeer(index, name, question);
+            sendRequest(index, name, request);
     }
 
-    void askPeer(std::size_t index, const std::string &name, const PermitQuestion &question)
+    void sendRequest(std::size_t index, const std::string &name, const PermitRequest &request)
     {
         PeerGateway &to = gateways_[index].known[name];
-        noteAsked(to, now_);
-        post({.from = index, .to = to.address.ip - 1, .question = question});
+        noteRequestSent(to, now_);
+        post({.from = index, .to = to.address.ip - 1, .request = request});
     }
 
     /// A request that would go to the server, and has nowhere else to wait.
     void arrive(Peer &peer)
     {
         if (!isPermitted(peer.limits, server, now_)) {
-            wantPermit(peer.limits, server, now_);
+            markPermitWanted(peer.limits, server, now_);
             return;
         }
-        takePermit(peer.limits, server, now_);
+        consumePermit(peer.limits, server, now_);
         sentAt_.push_back(now_);
-        noteWord(peer.limits, server, {.perSecond = perSecond_, .heardAt = now_});
+        noteAdvertisedLimit(peer.limits, server, {.perSecond = perSecond_, .receivedAt = now_});
     }
 
     std::vector<Peer> gateways_;
@@ -218,10 +220,10 @@
     PermitWorld world(13, perSecond, 0.02);
     world.run(seconds(10), 100);
     const std::size_t before = world.sent();
-    world.stand(world.keeper(), true);
+    world.stand(world.owner(), true);
     world.run(seconds(10), 100);
     REQUIRE(world.sent() - before >= static_cast<std::size_t>(6 * perSecond));
-    world.stand(world.keeper(), false);
+    world.stand(world.owner(), false);
     world.run(seconds(10), 100);
     REQUIRE(world.mostWithinSpan() <= allowedWithinSpan(perSecond));
 }
@@ -241,81 +243,89 @@
 // the store is away.
 TEST_CASE("A limit outlasts changes of the server's entry, but not the server's restart")
 {
-    BackendBoard board;
-    putBackend(board, entryOf(server, 1), start);
-    noteWord(board.limits, server, {.perSecond = 1, .heardAt = start});
-    putBackend(board, entryOf(server, 1), start);
-    removeBackend(board, server);
-    putBackend(board, entryOf(server, 1), start);
-    REQUIRE_FALSE(isPermitted(board.limits, server, start));
-    putBackend(board, entryOf(server, 2), start);
-    REQUIRE(isPermitted(board.limits, server, start));
+    BackendRegistry registry;
+    putBackend(registry, entryOf(server, 1), start);
+    noteAdvertisedLimit(registry.limits, server, {.perSecond = 1, .receivedAt = start});
+    putBackend(registry, entryOf(server, 1), start);
+    removeBackend(registry, server);
+    putBackend(registry, entryOf(server, 1), start);
+    REQUIRE_FALSE(isPermitted(registry.limits, server, start));
+    putBackend(registry, entryOf(server, 2), start);
+    REQUIRE(isPermitted(registry.limits, server, start));
 }
 
 // Guards against a resumption or retry that takes another way than a first send.
 TEST_CASE(
     "No wish is served by a server at its limit, and the one there would be best is asked for")
 {
-    BackendBoard board;
+    BackendRegistry registry;
     for (const std::string id : {"i-1", "i-2"})
-        putBackend(board, entryOf(id), start);
-    board.backends["i-2"].own = 5;
-    noteWord(board.limits, server, {.perSecond = 1, .heardAt = start});
-    const BackendWish wish{
-        .service = "s", .tried = {}, .fullAt = GENERATE(1.0, 2.0), .failureDomain = "a"};
-    REQUIRE(chooseBackend(board, wish, start, 0).backend->entry.id == "i-2");
-    REQUIRE(chooseBackend(board, wish, start, 0).wished == server);
-    noteWord(board.limits, "i-2", {.perSecond = 1, .heardAt = start});
-    const BackendChoice none = chooseBackend(board, wish, start, 0);
+        putBackend(registry, entryOf(id), start);
+    registry.backends["i-2"].ownInFlight = 5;
+    noteAdvertisedLimit(registry.limits, server, {.perSecond = 1, .receivedAt = start});
+    const BackendCriteria criteria{
+        .service = "s", .tried = {}, .maxLoad = GENERATE(1.0, 2.0), .failureDomain = "a"};
+    REQUIRE(chooseBackend(registry, criteria, start, 0).backend->entry.id == "i-2");
+    REQUIRE(chooseBackend(registry, criteria, start, 0).preferredAtLimit == server);
+    noteAdvertisedLimit(registry.limits, "i-2", {.perSecond = 1, .receivedAt = start});
+    const BackendChoice none = chooseBackend(registry, criteria, start, 0);
     REQUIRE(none.backend == nullptr);
-    REQUIRE(none.why == NoBackend::AtLimit);
-    wantPermit(board.limits, none.wished, start);
-    const auto question = questionDue(board.limits, server, start);
-    REQUIRE(question->wanted);
-    REQUIRE(takeAnswer(
-        board.limits,
-        {.server = server, .number = question->number, .granted = true, .word = question->word},
-        start));
-    REQUIRE(chooseBackend(board, wish, start, 0).backend->entry.id == server);
+    REQUIRE(none.reason == NoBackendReason::AtLimit);
+    markPermitWanted(registry.limits, none.preferredAtLimit, start);
+    const auto request = nextPermitRequest(registry.limits, server, start);
+    REQUIRE(request->wanted);
+    REQUIRE(applyPermitReply(registry.limits,
+                             {.server = server,
+                              .number = request->number,
+                              .granted = true,
+                              .advertised = request->advertised},
+                             start));
+    REQUIRE(chooseBackend(registry, criteria, start, 0).backend->entry.id == server);
 }
 
 // Guards against one permit used twice: datagrams may come twice, and late.
 TEST_CASE("An answer permits one request, once, and not long after the question")
 {
     ServerLimits limits;
-    noteWord(limits, server, {.perSecond = 1, .heardAt = start});
-    wantPermit(limits, server, start);
-    const auto question = questionDue(limits, server, start);
-    const PermitAnswer answer{
-        .server = server, .number = question->number, .granted = true, .word = question->word};
-    takeAnswer(limits, answer, start);
-    takePermit(limits, server, start);
-    takeAnswer(limits, answer, start);
+    noteAdvertisedLimit(limits, server, {.perSecond = 1, .receivedAt = start});
+    markPermitWanted(limits, server, start);
+    const auto request = nextPermitRequest(limits, server, start);
+    const PermitReply reply{.server = server,
+                            .number = request->number,
+                            .granted = true,
+                            .advertised = request->advertised};
+    applyPermitReply(limits, reply, start);
+    consumePermit(limits, server, start);
+    applyPermitReply(limits, reply, start);
     REQUIRE_FALSE(isPermitted(limits, server, start));
 
-    wantPermit(limits, server, start + seconds(1));
-    const auto second = questionDue(limits, server, start + seconds(1));
-    takeAnswer(limits,
-               {.server = server, .number = second->number, .granted = true, .word = second->word},
-               start + seconds(2));
+    markPermitWanted(limits, server, start + seconds(1));
+    const auto second = nextPermitRequest(limits, server, start + seconds(1));
+    applyPermitReply(limits,
+                     {.server = server,
+                      .number = second->number,
+                      .granted = true,
+                      .advertised = second->advertised},
+                     start + seconds(2));
     REQUIRE_FALSE(isPermitted(limits, server, start + seconds(2)));
 }
 
 TEST_CASE("Questions and answers about limits survive the way")
 {
-    const PermitAsked asked{
+    const PermitRequestMessage request{
         .server = server, .wanted = true, .number = 3, .perSecond = 1.5, .ageMilliseconds = 20};
-    const auto askedBack = decodeMessage(encodeMessage(asked)).value();
-    REQUIRE(std::get<PermitAsked>(askedBack).server == server);
-    REQUIRE(std::get<PermitAsked>(askedBack).wanted);
-    REQUIRE(std::get<PermitAsked>(askedBack).perSecond == 1.5);
-    const PermitTold told{.server = server, .number = 3, .granted = true, .nextInMilliseconds = 7};
-    const auto toldBack = decodeMessage(encodeMessage(told)).value();
-    REQUIRE(std::get<PermitTold>(toldBack).granted);
-    REQUIRE(std::get<PermitTold>(toldBack).nextInMilliseconds == 7);
-    REQUIRE_FALSE(std::get<PermitTold>(toldBack).perSecond);
-    REQUIRE(
-        decodeMessage(encodeMessage(PermitAsked{.server = server, .perSecond = -1})).has_error());
+    const auto requestBack = decodeMessage(encodeMessage(request)).value();
+    REQUIRE(std::get<PermitRequestMessage>(requestBack).server == server);
+    REQUIRE(std::get<PermitRequestMessage>(requestBack).wanted);
+    REQUIRE(std::get<PermitRequestMessage>(requestBack).perSecond == 1.5);
+    const PermitReplyMessage reply{
+        .server = server, .number = 3, .granted = true, .nextInMilliseconds = 7};
+    const auto replyBack = decodeMessage(encodeMessage(reply)).value();
+    REQUIRE(std::get<PermitReplyMessage>(replyBack).granted);
+    REQUIRE(std::get<PermitReplyMessage>(replyBack).nextInMilliseconds == 7);
+    REQUIRE_FALSE(std::get<PermitReplyMessage>(replyBack).perSecond);
+    REQUIRE(decodeMessage(encodeMessage(PermitRequestMessage{.server = server, .perSecond = -1}))
+                .has_error());
 }
 
 // Guards against gateways that don't know each other each saving up a request of a small limit, and
@@ -328,16 +338,17 @@
     const unsigned seed = GENERATE(range(1U, 40U));
     std::mt19937_64 random(seed);
     std::uniform_real_distribution<double> draw(0, 1);
-    std::vector<KeptLimit> kept(gateways);
+    std::vector<OwnedLimit> owned(gateways);
     std::vector<TimePoint> granted;
-    const PermitQuestion question{
-        .server = server, .wanted = true, .word = {.perSecond = perSecond, .heardAt = start}};
-    for (KeptLimit &limit : kept)
-        answerAlone(limit, question, share, draw(random), start);
+    const PermitRequest request{.server = server,
+                                .wanted = true,
+                                .advertised = {.perSecond = perSecond, .receivedAt = start}};
+    for (OwnedLimit &limit : owned)
+        answerWithoutPeers(limit, request, share, draw(random), start);
     const TimePoint surge = start + seconds(60);
     for (TimePoint now = surge; now < surge + seconds(60); now += milliseconds(25)) {
-        for (KeptLimit &limit : kept) {
-            if (answerAlone(limit, question, share, draw(random), now).granted)
+        for (OwnedLimit &limit : owned) {
+            if (answerWithoutPeers(limit, request, share, draw(random), now).granted)
                 granted.push_back(now);
         }
     }
@@ -350,13 +361,13 @@
 // reason to send there for minutes.
 TEST_CASE("A limit stands for as long as its server, however long ago it was named")
 {
-    BackendBoard board;
-    putBackend(board, entryOf(server), start);
-    noteWord(board.limits, server, {.perSecond = 1, .heardAt = start});
+    BackendRegistry registry;
+    putBackend(registry, entryOf(server), start);
+    noteAdvertisedLimit(registry.limits, server, {.perSecond = 1, .receivedAt = start});
     const TimePoint later = start + std::chrono::hours(1);
-    forgetOldLimits(board, later);
-    REQUIRE_FALSE(isPermitted(board.limits, server, later));
-    removeBackend(board, server);
-    forgetOldLimits(board, later);
-    REQUIRE(board.limits.empty());
+    forgetOldLimits(registry, later);
+    REQUIRE_FALSE(isPermitted(registry.limits, server, later));
+    removeBackend(registry, server);
+    forgetOldLimits(registry, later);
+    REQUIRE(registry.limits.empty());
 }
--- a/Tests/Gateway/MetricsTest.cpp
+++ b/Tests/Gateway/MetricsTest.cpp
@@ -104,12 +104,12 @@
     countRetry(metrics, "s", RetryCause::Moved);
     countStoreCall(metrics, "t", "answered");
     setStoreAge(metrics, "t", milliseconds(1));
-    setPlaces(metrics, {.service = "s"});
+    setSlots(metrics, {.service = "s"});
     setRetriesLeft(metrics, "s", 1);
     setGatewayState(metrics, {});
     GroupSwitch group;
     group.heldSince = TimePoint(seconds(1));
-    countSwitchStep(metrics, group, SwitchNote::InForce, TimePoint(seconds(2)));
+    countSwitchEvent(metrics, group, SwitchEvent::InForce, TimePoint(seconds(2)));
     countOrder(metrics, RankOrderKind::Arm, "done");
     setSidecarState(metrics, {});
     return metrics.text();
--- a/Tests/Version/DemandPlacementTest.cpp
+++ b/Tests/Version/DemandPlacementTest.cpp
@@ -6,7 +6,7 @@
 #include <catch2/catch.hpp>
 
 #include "Version/DemandPlacement.h"
-#include "Version/LeaderChoice.h"
+#include "Version/LeaderElection.h"
 #include "Version/RelayPlan.h"
 
 using namespace wisteria;
@@ -14,8 +14,11 @@
 namespace {
 
 constexpr std::size_t rankCount = 16;
-const ExpertProfile profile{
-    .sets = 4, .expertsPerSet = 64, .expertsPerRank = 5, .loadsPerMap = 2, .loadMilliseconds = 111};
+const ExpertProfile profile{.sets = 4,
+                            .expertsPerSet = 64,
+                            .expertsPerRank = 5,
+                            .copiesPerMap = 2,
+                            .copyMilliseconds = 111};
 
 RankMap firstMap()
 {
@@ -41,14 +44,14 @@
     return demand;
 }
 
-bool keepsRules(const RankMap &present, const RankMap &next)
+bool keepsRules(const RankMap &current, const RankMap &next)
 {
     for (std::size_t set = 0; set < next.size(); ++set) {
         std::vector<int> replicas(profile.expertsPerSet);
         for (std::size_t rank = 0; rank < rankCount; ++rank) {
             const auto &held = next[set][rank];
-            const auto loads = missingExperts(present[set][rank], held).size();
-            if (held.size() > profile.expertsPerRank || loads > profile.loadsPerMap)
+            const auto loads = missingExperts(current[set][rank], held).size();
+            if (held.size() > profile.expertsPerRank || loads > profile.copiesPerMap)
                 return false;
             for (const std::uint32_t expert : held)
                 ++replicas[expert];
@@ -63,15 +66,15 @@
 
 TEST_CASE("A shift of demand is met within two changes of the map")
 {
-    const std::vector<double> paces(rankCount, 1.0);
+    const std::vector<double> slowdowns(rankCount, 1.0);
     constexpr std::uint64_t seeds = 20;
     double sum = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         const ExpertDemand demand = skewedDemand(seed);
         RankMap map = firstMap();
-        const double before = demandSkew(demand, map, paces);
+        const double before = demandSkew(demand, map, slowdowns);
         for (int change = 0; change < 2; ++change) {
-            const auto proposal = proposeMap(profile, demand, map, paces, {});
+            const auto proposal = proposeMap(profile, demand, map, slowdowns, {});
             if (!proposal)
                 break;
             REQUIRE(keepsRules(map, proposal->map));
@@ -79,8 +82,8 @@
             map = proposal->map;
         }
         CAPTURE(seed, before);
-        REQUIRE(demandSkew(demand, map, paces) < 1.45);
-        sum += demandSkew(demand, map, paces);
+        REQUIRE(demandSkew(demand, map, slowdowns) < 1.45);
+        sum += demandSkew(demand, map, slowdowns);
     }
     REQUIRE(sum / seeds < 1.3);
 }
@@ -93,20 +96,20 @@
     for (auto &set : demand.loads)
         std::fill(set.begin(), set.end(), 1000.0);
     demand.loads[0][0] = 1400;
-    const std::vector<double> paces(rankCount, 1.0);
-    REQUIRE_FALSE(proposeMap(profile, demand, firstMap(), paces, {}));
+    const std::vector<double> slowdowns(rankCount, 1.0);
+    REQUIRE_FALSE(proposeMap(profile, demand, firstMap(), slowdowns, {}));
 }
 
 // Every stream of a group gets one event a second for as long as one rank is slow. All ranks wait
 // for it in each pass, for the experts that it holds as well.
 TEST_CASE("A rank at a twelfth of its speed gives all its experts away")
 {
-    std::vector<double> paces(rankCount, 1.0);
-    paces[5] = 12;
+    std::vector<double> slowdowns(rankCount, 1.0);
+    slowdowns[5] = 12;
     const ExpertDemand demand = skewedDemand(4);
     RankMap map = firstMap();
     for (int change = 0; change < 4; ++change) {
-        const auto proposal = proposeMap(profile, demand, map, paces, {});
+        const auto proposal = proposeMap(profile, demand, map, slowdowns, {});
         if (!proposal)
             break;
         REQUIRE(keepsRules(map, proposal->map));
@@ -114,7 +117,7 @@
     }
     for (const auto &set : map)
         REQUIRE(set[5].empty());
-    REQUIRE(demandSkew(demand, map, paces) < 1.45);
+    REQUIRE(demandSkew(demand, map, slowdowns) < 1.45);
 }
 
 TEST_CASE("Old demand fades")
@@ -125,7 +128,7 @@
     const auto take = [&](const std::vector<std::uint64_t> &counts, TimePoint now) {
         ExpertDemand window;
         addCounts(window, small, counts);
-        takeWindow(demand, window, now);
+        mergeWindow(demand, window, now);
     };
     take({100, 0}, start);
     REQUIRE(demand.loads[0][0] == 100);
@@ -157,14 +160,14 @@
 TEST_CASE("One sidecar leads, and the next one follows when it is silent")
 {
     const TimePoint start{seconds(10)};
-    LeaderChoice first{.heardSuperior = {}, .since = start};
-    LeaderChoice second{.heardSuperior = {}, .since = start};
-    REQUIRE_FALSE(leads(first, 0, start + milliseconds(900)));
-    REQUIRE(leads(first, 0, start + milliseconds(1050)));
-    REQUIRE_FALSE(leads(second, 1, start + milliseconds(1050)));
-    noteSuperior(second, start + milliseconds(1100));
-    REQUIRE_FALSE(leads(second, 1, start + milliseconds(2200)));
-    REQUIRE(leads(second, 1, start + milliseconds(2300)));
+    LeaderElection first{.higherPriorityHeardAt = {}, .since = start};
+    LeaderElection second{.higherPriorityHeardAt = {}, .since = start};
+    REQUIRE_FALSE(isLeader(first, 0, start + milliseconds(900)));
+    REQUIRE(isLeader(first, 0, start + milliseconds(1050)));
+    REQUIRE_FALSE(isLeader(second, 1, start + milliseconds(1050)));
+    noteHigherPriorityLeader(second, start + milliseconds(1100));
+    REQUIRE_FALSE(isLeader(second, 1, start + milliseconds(2200)));
+    REQUIRE(isLeader(second, 1, start + milliseconds(2300)));
 }
 
 TEST_CASE("A map travels as changes against one that is known")
@@ -187,8 +190,8 @@
     const ExpertProfile large{.sets = 12,
                               .expertsPerSet = 144,
                               .expertsPerRank = 3,
-                              .loadsPerMap = 2,
-                              .loadMilliseconds = 16.4};
+                              .copiesPerMap = 2,
+                              .copyMilliseconds = 16.4};
     constexpr std::size_t ranks = 72;
     RankMap map(large.sets, std::vector<std::vector<std::uint32_t>>(ranks));
     std::mt19937_64 random(1);
@@ -205,7 +208,7 @@
     REQUIRE(proposal);
     REQUIRE(proposal->skewBefore > 2);
     REQUIRE(proposal->skewAfter < 1.5);
-    CAPTURE(proposal->searchedTerms, proposal->skewAfter, proposal->loads);
+    CAPTURE(proposal->searchedTerms, proposal->skewAfter, proposal->copies);
     REQUIRE(proposal->searchedTerms < 80'000);
 }
 
@@ -216,10 +219,10 @@
     const ExpertProfile large{.sets = 8,
                               .expertsPerSet = 252,
                               .expertsPerRank = 5,
-                              .loadsPerMap = 2,
-                              .loadMilliseconds = 14.2};
+                              .copiesPerMap = 2,
+                              .copyMilliseconds = 14.2};
     constexpr std::size_t ranks = 63;
-    const std::vector<double> paces(ranks, 1.0);
+    const std::vector<double> slowdowns(ranks, 1.0);
     std::mt19937_64 random(3);
     ExpertDemand demand;
     demand.loads.assign(large.sets, std::vector<double>(large.expertsPerSet));
@@ -233,7 +236,7 @@
     RankMap map = firstRankMap(large, ranks);
     for (int shifts = 0; shifts < 4; ++shifts) {
         shift();
-        const auto proposal = proposeMap(large, demand, map, paces, {});
+        const auto proposal = proposeMap(large, demand, map, slowdowns, {});
         REQUIRE(proposal);
         CAPTURE(shifts, proposal->searchedTerms, proposal->skewBefore, proposal->skewAfter);
         REQUIRE(proposal->skewBefore > 3);
@@ -249,12 +252,12 @@
 TEST_CASE("A large message goes through relays that were heard of last, to each receiver once")
 {
     constexpr std::size_t mapBytes = 2000;
-    const RelayLink link = relayLinkOf(8);
+    const LinkBandwidth bandwidth = linkBandwidthOf(8);
     std::vector<Endpoint> engines;
     for (std::uint32_t i = 72; i > 0; --i)
         engines.push_back({i, 1});
-    const auto plan = relayPlan(engines, mapBytes, link);
-    REQUIRE(plan.size() * mapBytes <= linkTimePerStage.count() * link.bytesPerMillisecond);
+    const auto plan = relayPlan(engines, mapBytes, bandwidth);
+    REQUIRE(plan.size() * mapBytes <= linkTimePerStage.count() * bandwidth.bytesPerMillisecond);
     std::vector<Endpoint> reached;
     for (const RelayBranch &branch : plan) {
         REQUIRE(branch.rest.size() == 8);
@@ -269,8 +272,8 @@
     std::sort(engines.begin(), engines.end());
     REQUIRE(reached == engines);
     constexpr std::size_t pollBytes = 4;
-    REQUIRE(relayPlan(engines, pollBytes, link).size() == engines.size());
-    REQUIRE(relayPlan({}, mapBytes, link).empty());
+    REQUIRE(relayPlan(engines, pollBytes, bandwidth).size() == engines.size());
+    REQUIRE(relayPlan({}, mapBytes, bandwidth).empty());
 }
 
 TEST_CASE("A relayed message keeps its receivers and its bytes")
@@ -288,9 +291,9 @@
 TEST_CASE("Counts keep their shares on the way, the small ones too")
 {
     const auto travelled = [](const std::vector<std::uint64_t> &counts) {
-        const auto decoded = decodeMessage(encodeMessage(CountsTold{.counts = counts}));
+        const auto decoded = decodeMessage(encodeMessage(CountsReply{.counts = counts}));
         REQUIRE(decoded.has_value());
-        return std::get<CountsTold>(decoded.value()).counts;
+        return std::get<CountsReply>(decoded.value()).counts;
     };
     std::vector<std::uint64_t> counts;
     for (std::uint64_t i = 0; i < 384; ++i)
@@ -314,7 +317,7 @@
 
 TEST_CASE("Counts that are cut off on the way are refused")
 {
-    const std::string bytes = encodeMessage(CountsTold{.counts = {1, 2, 3, 4, 5, 6, 7}});
+    const std::string bytes = encodeMessage(CountsReply{.counts = {1, 2, 3, 4, 5, 6, 7}});
     for (std::size_t length = 0; length < bytes.size(); ++length)
         REQUIRE(decodeMessage(bytes.substr(0, length)).has_error());
 }
