--- a/Source/Programs/Sidecar/Sidecar.cpp
+++ b/Source/Programs/Sidecar/Sidecar.cpp
@@ -481,7 +481,7 @@
 
     void tellDueCounts(TimePoint now)
     {
-        for (const CountsAggregation &aggregation : takeDue(aggregations_, now)) {
+        for (const CountsAggregation &aggregation : extractDue(aggregations_, now)) {
             if (aggregation.sum.ranks > 0)
                 tellCounts(aggregation);
         }
--- a/Source/Version/CountsAggregation.cpp
+++ b/Source/Version/CountsAggregation.cpp
@@ -31,7 +31,8 @@
     return aggregation.awaited == 0 || now - aggregation.since >= aggregation.timeout;
 }
 
-std::vector<CountsAggregation> takeDue(std::vector<CountsAggregation> &aggregations, TimePoint now)
+std::vector<CountsAggregation> extractDue(std::vector<CountsAggregation> &aggregations,
+                                          TimePoint now)
 {
     const auto firstDue = std::stable_partition(
         aggregations.begin(), aggregations.end(),
--- a/Source/Version/CountsAggregation.h
+++ b/Source/Version/CountsAggregation.h
@@ -9,33 +9,35 @@
 
 namespace wisteria {
 
-/// Counts of several ranks that one sidecar adds up for whoever asked. A plain value.
+/// Expert counts of several ranks, which one sidecar sums up for the requester. A value type
+/// without I/O.
 ///
-/// The demand for experts is known well only from all ranks: a rank reads some four prompts a
-/// second, and each prompt has favourites of its own. The counts of all would fill the link of the
-/// leader's VM, so sidecars add them up on the way.
+/// Only the counts of all ranks estimate the demand well: a rank reads about four prompts per
+/// second, and each prompt prefers different experts. The separate counts of all ranks would
+/// saturate the link of the leader's VM, so sidecars sum them up on the way.
 struct CountsAggregation
 {
     Endpoint requester;
     TimePoint since;
-    /// How long the others are waited for. What comes later goes into the next sum.
+    /// Longest wait for the replies; later ones go into the next sum.
     milliseconds timeout{0};
-    /// Sidecars that have not answered yet.
+    /// Number of sidecars that have not replied yet.
     std::size_t awaited = 0;
     CountsReply sum;
 };
 
-/// Adds a rank's counts, or a sum of several. Those of a group that has formed anew replace the
-/// older ones.
+/// Adds the counts of one rank, or the sum of several. Counts of a newer epoch, after the group was
+/// re-formed, replace the sum; those of an older epoch are ignored.
 void addCounts(CountsAggregation &aggregation, const CountsReply &reply);
 
-/// Whether the sum is to be told now.
+/// Returns whether the sum is to be sent now: all sidecars have replied, or the timeout has passed.
 bool isDue(const CountsAggregation &aggregation, TimePoint now);
 
-/// Takes those out of the list that are due. They are out of it before anybody is told: a sum for
-/// this process itself, asked for while it led and due when it no longer did, was added to the list
-/// that was being gone through. The process crashed, at times after it had told another's sum so
-/// often that its link was full for minutes.
-std::vector<CountsAggregation> takeDue(std::vector<CountsAggregation> &aggregations, TimePoint now);
+/// Removes the due sums from the list and returns them. They must be removed before any of them is
+/// sent: a sum that this process requested while it was the leader is added to the list again when
+/// it is due after a change of leader. During an iteration over that list this crashed the process,
+/// at times after it had sent another sum so often that its link was saturated for minutes.
+std::vector<CountsAggregation> extractDue(std::vector<CountsAggregation> &aggregations,
+                                          TimePoint now);
 
 } // namespace wisteria
--- a/Source/Version/DemandPlacement.cpp
+++ b/Source/Version/DemandPlacement.cpp
@@ -10,18 +10,19 @@
 
 namespace {
 
-/// Share of the counts that is left after a while. A shift of demand clears them, so what fades is
-/// the noise of single prompts: some ten passes count.
-constexpr double decayTo = 0.05;
-constexpr milliseconds decayTime{1000};
-/// Counts of a set below which its demand is too uncertain to act on: the noise of one expert's
-/// count is then still a tenth of it.
+/// Fraction of the counts that remains after one decay period. A shift of demand clears them, so
+/// the decay only averages the noise of single prompts: about ten passes contribute.
+constexpr double decayFactor = 0.05;
+constexpr milliseconds decayPeriod{1000};
+/// Minimum total count of a set. With fewer counts the demand is too uncertain to act on: at this
+/// total the noise of one expert's count is still a tenth of it.
 constexpr double minCounts = 4000;
-/// Terms that one set's search may evaluate: it ends within the time of a pass.
-constexpr std::uint64_t searchTerms = 300000;
-/// Ranks that each step of the search may move experts to. The busiest one's work goes to the
-/// idlest anyway; looking at more of them takes longer and leads to the same skew.
-constexpr std::uint32_t searchPartners = 8;
+/// Evaluations of a rank's time that the search of one set may make, so that it ends within the
+/// duration of a pass.
+constexpr std::uint64_t maxSearchTerms = 300000;
+/// Ranks that each step of the search may move experts to. Work of the busiest rank goes to the
+/// least busy ones; more candidates take longer and lead to the same skew.
+constexpr std::uint32_t maxSearchPartners = 8;
 
 void decay(ExpertDemand &demand, TimePoint now)
 {
@@ -30,8 +31,8 @@
         return;
     }
     const std::chrono::duration<double> passed = now - *demand.decayedAt;
-    const std::chrono::duration<double> unit = decayTime;
-    const double factor = std::pow(decayTo, passed.count() / unit.count());
+    const std::chrono::duration<double> period = decayPeriod;
+    const double factor = std::pow(decayFactor, passed.count() / period.count());
     for (std::vector<double> &set : demand.loads) {
         for (double &load : set)
             load *= factor;
@@ -39,15 +40,15 @@
     demand.decayedAt = now;
 }
 
-/// A rank this much slower than usual holds no experts: spread over the others, its share costs
-/// them less than its slowness costs all.
-constexpr double emptyAtSlowdown = 1.4;
+/// A rank at this slowdown or above holds no experts: distributing its experts over the other ranks
+/// costs them less than waiting for it costs the whole group.
+constexpr double evictionSlowdown = 1.4;
 
 RankGroup groupFor(const ExpertProfile &profile, const std::vector<double> &slowdowns)
 {
     RankGroup group;
     for (const double slowdown : slowdowns) {
-        group.ranks.push_back({.slots = slowdown >= emptyAtSlowdown ? 0 : profile.expertsPerRank,
+        group.ranks.push_back({.slots = slowdown >= evictionSlowdown ? 0 : profile.expertsPerRank,
                                .speed = 1 / std::max(1.0, slowdown)});
     }
     group.layers = 1;
@@ -60,8 +61,8 @@
     return std::accumulate(loads.begin(), loads.end(), 0.0);
 }
 
-/// One set of the map in search.
-struct SetSearch
+/// A set and the skew of its current map.
+struct SetSkew
 {
     std::size_t set = 0;
     double skew = 1;
@@ -75,14 +76,16 @@
         }));
 }
 
-/// Where an expert may go: the rank that would have the least to do with it.
+/// Rank and slot that an expert is to be placed in.
 struct Destination
 {
     std::size_t rank = 0;
-    /// Place whose expert gives way, or the end of the list for a free place.
+    /// Slot whose expert is replaced, or the number of held experts for a free slot.
     std::size_t slot = 0;
 };
 
+/// Returns the least busy rank that can take the expert, in a free slot or in place of an expert
+/// with further replicas; std::nullopt when there is none.
 std::optional<Destination> destinationFor(const RankGroup &group, const LayerMap &map,
                                           const std::vector<double> &loads, ExpertId expert,
                                           const std::vector<std::uint32_t> &capacity)
@@ -108,16 +111,16 @@
     return best;
 }
 
-/// Takes the experts off the ranks that may hold none. One without any other replica stays where
-/// it is when no rank has room for it.
-LayerMap withoutEmptied(const RankGroup &group, LayerMap map, const std::vector<double> &loads,
-                        std::vector<std::uint32_t> capacity)
+/// Removes the experts from ranks without slots. An expert whose only replica is there moves to
+/// another rank, or stays when no rank has capacity for it.
+LayerMap evictFromSlowRanks(const RankGroup &group, LayerMap map, const std::vector<double> &loads,
+                            std::vector<std::uint32_t> capacity)
 {
     for (std::size_t rank = 0; rank < map.ranks.size(); ++rank) {
         if (group.ranks[rank].slots > 0)
             continue;
-        const std::vector<ExpertId> leaving = map.ranks[rank];
-        for (const ExpertId expert : leaving) {
+        const std::vector<ExpertId> toEvict = map.ranks[rank];
+        for (const ExpertId expert : toEvict) {
             if (replicasOf(map, expert) < 2) {
                 const auto to = destinationFor(group, map, loads, expert, capacity);
                 if (!to)
@@ -135,29 +138,32 @@
     return map;
 }
 
-/// The sets in the order of their skew, the worst first: it has the first use of the copies.
-std::vector<SetSearch> worstFirst(const RankGroup &group, const ExpertDemand &demand,
-                                  const RankMap &current)
+/// Returns the sets by descending skew: the worst set uses the limited number of copies first.
+std::vector<SetSkew> setsByDescendingSkew(const RankGroup &group, const ExpertDemand &demand,
+                                          const RankMap &current)
 {
-    std::vector<SetSearch> order;
+    std::vector<SetSkew> order;
     for (std::size_t set = 0; set < current.size(); ++set)
         order.push_back({set, layerSkew(group, LayerMap{current[set]}, demand.loads[set])});
     std::sort(order.begin(), order.end(),
-              [](const SetSearch &a, const SetSearch &b) { return a.skew > b.skew; });
+              [](const SetSkew &a, const SetSkew &b) { return a.skew > b.skew; });
     return order;
 }
 
-/// Experts that one rank may load for one change.
+/// Returns how many experts one rank may copy for one change, over all sets.
 std::uint32_t copiesPerRank(const ExpertProfile &profile, const PlacementBounds &bounds)
 {
     const auto maxCopies = profile.copiesPerMap * profile.sets;
     if (profile.copyMilliseconds <= 0)
         return maxCopies;
-    const double fit = static_cast<double>(bounds.copyTime.count()) / profile.copyMilliseconds;
-    return std::clamp(static_cast<std::uint32_t>(std::min(fit, 1e6)), 1U, std::max(1U, maxCopies));
+    const double copiesInTime =
+        static_cast<double>(bounds.copyTime.count()) / profile.copyMilliseconds;
+    return std::clamp(static_cast<std::uint32_t>(std::min(copiesInTime, 1e6)), 1U,
+                      std::max(1U, maxCopies));
 }
 
-/// Skew of one set that each loaded expert must gain.
+/// Returns the minimum gain in skew of one set for each copied expert. The bound on the mean over
+/// the sets is scaled by their number.
 double minGainPerCopy(const ExpertProfile &profile, const PlacementBounds &bounds)
 {
     constexpr double millisecondsPerSecond = 1000;
@@ -165,7 +171,7 @@
     return bounds.minGainPerCopySecond * copySeconds * profile.sets;
 }
 
-bool enoughCounts(const ExpertDemand &demand, std::size_t sets)
+bool hasEnoughCounts(const ExpertDemand &demand, std::size_t sets)
 {
     if (demand.loads.size() != sets || sets == 0)
         return false;
@@ -221,7 +227,7 @@
 {
     if (map.empty() || known.loads.size() != map.size())
         return false;
-    return demandSkew(latest, map, slowdowns) > demandSkew(known, map, slowdowns) + shiftSkew;
+    return demandSkew(latest, map, slowdowns) > demandSkew(known, map, slowdowns) + minShiftSkew;
 }
 
 double demandSkew(const ExpertDemand &demand, const RankMap &map,
@@ -244,17 +250,18 @@
                                             const std::vector<double> &slowdowns,
                                             const PlacementBounds &bounds)
 {
-    if (!enoughCounts(demand, current.size()))
+    if (!hasEnoughCounts(demand, current.size()))
         return std::nullopt;
     const std::size_t ranks = current.front().size();
     const RankGroup group = groupFor(profile, slowdowns);
     PlacementProposal proposal{.map = current,
                                .skewBefore = demandSkew(demand, current, slowdowns)};
-    // No map is better than balanced: most looks end here, without a search of milliseconds.
+    // A balanced map has skew 1, which bounds the gain. Most calls return here, without a search
+    // that takes milliseconds.
     if (proposal.skewBefore - 1 < bounds.minGain)
         return std::nullopt;
-    std::vector<std::uint32_t> left(ranks, copiesPerRank(profile, bounds));
-    for (const SetSearch &entry : worstFirst(group, demand, current)) {
+    std::vector<std::uint32_t> remainingCopies(ranks, copiesPerRank(profile, bounds));
+    for (const SetSkew &entry : setsByDescendingSkew(group, demand, current)) {
         const LayerMap layer{current[entry.set]};
         const double total = sumOf(demand.loads[entry.set]);
         const SearchProblem problem{
@@ -262,20 +269,22 @@
             .noise = std::sqrt(static_cast<double>(profile.expertsPerSet) / total)};
         SearchLimits limits{.maxMoves = static_cast<std::uint32_t>(ranks) * profile.copiesPerMap,
                             .minGainPerMove = minGainPerCopy(profile, bounds),
-                            .stagingCapacity = left,
-                            .partners = searchPartners};
+                            .stagingCapacity = remainingCopies,
+                            .maxPartners = maxSearchPartners};
         for (std::uint32_t &capacity : limits.stagingCapacity)
             capacity = std::min(capacity, profile.copiesPerMap);
-        SearchBudget budget{.terms = searchTerms};
-        const LayerMap start = withoutEmptied(group, layer, problem.loads, limits.stagingCapacity);
+        SearchBudget budget{.terms = maxSearchTerms};
+        const LayerMap start =
+            evictFromSlowRanks(group, layer, problem.loads, limits.stagingCapacity);
         const SearchResult found = improveLayerMap(group, layer, start, problem, limits, budget);
         proposal.map[entry.set] = found.map.ranks;
         proposal.copies += found.moves;
-        proposal.searchedTerms += searchTerms - budget.terms;
+        proposal.searchedTerms += maxSearchTerms - budget.terms;
         for (std::size_t rank = 0; rank < ranks; ++rank) {
             const auto copied =
                 missingExperts(current[entry.set][rank], found.map.ranks[rank]).size();
-            left[rank] -= std::min(left[rank], static_cast<std::uint32_t>(copied));
+            remainingCopies[rank] -=
+                std::min(remainingCopies[rank], static_cast<std::uint32_t>(copied));
         }
     }
     proposal.skewAfter = demandSkew(demand, proposal.map, slowdowns);
--- a/Source/Version/DemandPlacement.h
+++ b/Source/Version/DemandPlacement.h
@@ -10,78 +10,80 @@
 
 namespace wisteria {
 
-/// Demand for experts of one group as its ranks counted it lately. A plain value.
+/// Demand for the experts of one group, from recent counts of its ranks. A value type without I/O.
 ///
-/// Demand may move to other experts within one step of time. What is known is cleared then, see
-/// hasShifted(); between shifts it fades slowly, so that single prompts do not decide on the map.
+/// Demand may move to other experts from one moment to the next. It is cleared then, see
+/// hasShifted(); between shifts it decays slowly, so that single prompts do not determine the map.
 struct ExpertDemand
 {
-    /// Faded counts, by set and expert.
+    /// Decayed counts, by set and expert.
     std::vector<std::vector<double>> loads;
     std::optional<TimePoint> decayedAt;
 };
 
-/// What a rank counted since it was last asked, one set after the other. Differences take a third
-/// of the bytes that the whole counts take, and one that gets lost only makes the demand less
-/// certain.
-/// @return Empty when nothing is known of before, or when the rank started anew.
+/// Returns the difference between two counts of a rank, one set after the other. Differences take a
+/// third of the bytes of the total counts, and a lost one only makes the demand less certain.
+/// @return Empty when there are no earlier counts, or when the counts show that the rank restarted.
 std::vector<std::uint64_t> countsSince(const std::vector<std::uint64_t> &before,
                                        const std::vector<std::uint64_t> &now);
 
-/// Adds what ranks counted lately, one set after the other; counts of another shape are left out.
+/// Adds counts of ranks, one set after the other; counts that don't match the profile's number of
+/// experts are ignored.
 void addCounts(ExpertDemand &demand, const ExpertProfile &profile,
                const std::vector<std::uint64_t> &counts);
 
-/// Fades the demand and adds what came since.
+/// Decays the demand up to `now` and adds the counts of a window.
 void mergeWindow(ExpertDemand &demand, const ExpertDemand &window, TimePoint now);
 
-/// Skew, averaged over the sets, by which the counts of a moment must exceed what is known for
-/// demand to count as shifted. The prompts of one pass of a large group stay below it, and a shift
-/// is far above.
-constexpr double shiftSkew = 0.5;
+/// Skew, averaged over the sets, by which the latest counts must exceed the known demand to count
+/// as a shift. The noise of one pass's prompts in a large group stays below it; a shift is far
+/// above it.
+constexpr double minShiftSkew = 0.5;
 
-/// Whether demand has moved away from the map between what is known and the latest counts.
+/// Returns whether the latest counts are served worse by the map than the known demand, by more
+/// than minShiftSkew. False while the known demand is empty.
 bool hasShifted(const ExpertDemand &known, const ExpertDemand &latest, const RankMap &map,
                 const std::vector<double> &slowdowns);
 
-/// Bounds of one change of the map. They hold for groups of any size: what a copy costs follows
-/// from its time, and what it gains from the mean over the sets.
+/// Bounds of one change of the map. They suit groups of any size: the cost of a copy is its
+/// duration, and its gain is averaged over the sets.
 struct PlacementBounds
 {
-    /// Skew, averaged over the sets, that a change must gain at least. While experts are copied
-    /// each pass takes longer: changes for less slow a loaded group down more than they gain.
+    /// Minimum gain of a change in skew, averaged over the sets. Passes take longer while experts
+    /// are copied: changes for a smaller gain slow a loaded group down more than they gain.
     double minGain = 0.25;
-    /// Skew, averaged over the sets, that each second of copying one expert must gain at least;
-    /// halves the memory that is copied.
+    /// Minimum gain in skew, averaged over the sets, for each second of copying one expert; it
+    /// halves the bytes that are copied.
     double minGainPerCopySecond = 0.045;
-    /// Longest time that one rank may copy for one change, over all sets: the copies of a rank come
-    /// one after the other, and the slowest rank sets the moment of the switch.
+    /// Maximum time that one rank may copy for one change, over all sets: a rank copies one expert
+    /// after the other, and the switch waits for the slowest rank.
     milliseconds copyTime{340};
 };
 
-/// A map that is better for the present demand than the one in force.
+/// A map that suits the current demand better than the one in force.
 struct PlacementProposal
 {
     RankMap map;
     /// Step-time skew, averaged over the sets, before and after.
     double skewBefore = 1;
     double skewAfter = 1;
-    /// Experts to be copied.
+    /// Number of experts to copy.
     std::uint32_t copies = 0;
-    /// Work of the search, in ranks' times evaluated; a million take some 10 ms of a core.
+    /// Work of the search, in evaluations of a rank's time; a million take about 10 ms of a core.
     std::uint64_t searchedTerms = 0;
 };
 
-/// Looks for a better map.
-/// @param slowdowns Of each rank, above 1 for one slower than usual. A rank that is much slower
-/// gets no experts at all: all ranks wait for it in every pass.
-/// @return Nothing when the gain is not worth the copies, or too little demand is known.
+/// Searches for a better map.
+/// @param slowdowns Factor of each rank, above 1 for one slower than usual. A rank that is much
+/// slower gets no experts, because all ranks wait for it in every pass.
+/// @return std::nullopt when the gain does not justify the copies, or there are too few counts.
 std::optional<PlacementProposal> proposeMap(const ExpertProfile &profile,
                                             const ExpertDemand &demand, const RankMap &current,
                                             const std::vector<double> &slowdowns,
                                             const PlacementBounds &bounds);
 
-/// Step-time skew of a map under the present demand, averaged over the sets; 1 is balanced.
+/// Returns the step-time skew of a map under a demand, averaged over the sets; 1 is balanced. Also
+/// 1 when the map is empty or has another number of sets than the demand.
 double demandSkew(const ExpertDemand &demand, const RankMap &map,
                   const std::vector<double> &slowdowns);
 
--- a/Source/Version/ExpertMap.cpp
+++ b/Source/Version/ExpertMap.cpp
@@ -22,18 +22,18 @@
     if (rank.slots == 0 || rank.slots > group.experts) {
         return failure(ErrorKind::BadSettings,
                        name + " has " + std::to_string(rank.slots)
-                           + " slots a layer; give it 1 up to the number of experts, "
+                           + " slots per layer; set between 1 and the number of experts, "
                            + std::to_string(group.experts));
     }
     if (!std::isfinite(rank.speed) || rank.speed <= 0) {
         return failure(ErrorKind::BadSettings,
-                       name + " has the speed " + std::to_string(rank.speed)
-                           + "; give a number above 0, 1 for a healthy rank");
+                       name + " has speed " + std::to_string(rank.speed)
+                           + "; set a number above 0, 1 for a healthy rank");
     }
     return boost::outcome_v2::success();
 }
 
-bool isWeight(double weight)
+bool isValidWeight(double weight)
 {
     return std::isfinite(weight) && weight >= 0;
 }
@@ -53,17 +53,17 @@
         return failure(ErrorKind::BadSettings,
                        std::to_string(totalSlots(group)) + " slots can't hold "
                            + std::to_string(group.experts)
-                           + " experts a layer; raise the slots of each rank or add ranks");
+                           + " experts per layer; increase the slots of each rank or add ranks");
     }
     if (!(group.storeBytesPerSecond > 0) || !std::isfinite(group.storeBytesPerSecond)) {
         return failure(ErrorKind::BadSettings,
-                       "the weight store's rate is not above 0; give its bytes a second");
+                       "the weight store's rate is not above 0; set its bytes per second");
     }
     const double weights = group.skewWeight + group.costWeight;
-    if (!isWeight(group.skewWeight) || !isWeight(group.costWeight) || weights <= 0) {
+    if (!isValidWeight(group.skewWeight) || !isValidWeight(group.costWeight) || weights <= 0) {
         return failure(ErrorKind::BadSettings,
-                       "the weights of skew and cost sum to nothing or are negative; "
-                       "give two numbers of which one is above 0");
+                       "the weights of skew and cost are both 0, or one is negative or not finite; "
+                       "set two numbers of at least 0, one of them above 0");
     }
     return boost::outcome_v2::success();
 }
@@ -74,7 +74,7 @@
         return failure(ErrorKind::BadInput,
                        "the map is for " + std::to_string(map.ranks.size())
                            + " ranks, but the group has " + std::to_string(group.ranks.size())
-                           + "; make a map for this group");
+                           + "; use a map for this group");
     }
     std::vector<bool> placed(group.experts, false);
     for (std::size_t rank = 0; rank < map.ranks.size(); ++rank) {
@@ -87,7 +87,7 @@
                            "rank " + std::to_string(rank) + " has more experts than its "
                                + std::to_string(group.ranks[rank].slots)
                                + " slots, an expert twice, or one that does not exist; "
-                                 "make a map for this group");
+                                 "use a map for this group");
         }
         for (const ExpertId expert : held)
             placed[expert] = true;
@@ -96,7 +96,7 @@
     if (missing != placed.end()) {
         return failure(ErrorKind::BadInput,
                        "expert " + std::to_string(missing - placed.begin())
-                           + " is on no rank; give it at least one replica");
+                           + " is on no rank; place at least one replica of it");
     }
     return boost::outcome_v2::success();
 }
--- a/Source/Version/ExpertMap.h
+++ b/Source/Version/ExpertMap.h
@@ -12,7 +12,7 @@
 /// Number of an expert within its layer, from 0.
 using ExpertId = std::uint32_t;
 
-/// Which experts each rank holds in one layer. An expert on several ranks has that many replicas,
+/// Experts that each rank holds in one layer. An expert on several ranks has that many replicas,
 /// which share its tokens evenly.
 struct LayerMap
 {
@@ -21,7 +21,7 @@
     bool operator==(const LayerMap &) const = default;
 };
 
-/// The expert map of a rank group: one map a layer.
+/// The expert map of a rank group: one map per layer.
 struct ExpertMap
 {
     std::vector<LayerMap> layers;
@@ -29,28 +29,28 @@
     bool operator==(const ExpertMap &) const = default;
 };
 
-/// What one rank can carry.
+/// Capacity and speed of one rank.
 struct RankCapacity
 {
-    /// Experts of one layer that it holds at most.
+    /// Maximum number of experts that it holds in one layer.
     std::uint32_t slots = 0;
-    /// Room in bytes for the weights of all layers, those being staged included; 0 when only the
-    /// slots bound it.
+    /// Memory in bytes for the weights of all layers, including those being staged; 0 when only
+    /// the slots limit it.
     std::uint64_t memoryBytes = 0;
-    /// Tokens a second relative to a healthy rank; below 1 for a slow one.
+    /// Tokens per second relative to a healthy rank; below 1 for a slow one.
     double speed = 1.0;
 };
 
-/// A rank group as operators declared it and the platform reports it.
+/// A rank group, from the operators' configuration and the platform's reports.
 struct RankGroup
 {
     std::vector<RankCapacity> ranks;
     std::uint32_t layers = 0;
-    /// Experts of one layer.
+    /// Number of experts in each layer.
     std::uint32_t experts = 0;
     /// Bytes of one expert's weights in one layer.
     std::uint64_t expertBytes = 0;
-    /// Bytes a second that the weight store gives to the whole group.
+    /// Bandwidth of the weight store for the whole group, in bytes per second.
     double storeBytesPerSecond = 0;
     milliseconds stepTime{0};
     /// Declared weights of step-time skew and of rebalancing cost.
@@ -58,42 +58,43 @@
     double costWeight = 0;
 };
 
-/// Checks that a group can hold every expert and that its numbers make sense.
-/// @return BadSettings that names the first wrong entry.
+/// Checks that a group can hold every expert and that its values are in range.
+/// @return BadSettings that names the first invalid entry.
 Result<void> checkRankGroup(const RankGroup &group);
 
-/// Checks that each rank keeps to its slots, holds no expert twice, and that every expert has at
+/// Checks that no rank exceeds its slots or holds an expert twice, and that every expert has at
 /// least one replica.
-/// @return BadInput that names the first offence.
+/// @return BadInput that names the first violation.
 Result<void> checkLayerMap(const RankGroup &group, const LayerMap &map);
 
-/// The map a group begins with when nothing is known of its loads: experts in order, the spare
-/// slots filled by beginning again from the first.
+/// Returns the initial map of a group whose loads are unknown: the experts in order, with the spare
+/// slots filled from the first expert again.
 LayerMap initialLayerMap(const RankGroup &group);
 
-/// Number of replicas of each expert.
+/// Returns the number of replicas of each expert.
 std::vector<std::uint32_t> replicaCounts(const LayerMap &map, std::uint32_t experts);
 
-/// Time each rank needs for the given loads, in tokens of a healthy rank: an expert's load is
-/// shared evenly by its replicas, and a rank's sum is divided by its speed.
+/// Returns the time that each rank needs for the given loads, in tokens of a healthy rank. An
+/// expert's load is split evenly among its replicas, and a rank's total is divided by its speed.
 std::vector<double> rankTimes(const RankGroup &group, const LayerMap &map,
                               const std::vector<double> &loads);
 
-/// Step-time skew of one layer: the straggler's time over the time of a perfectly balanced group;
-/// 1 at best. Also 1 when there is no load at all.
+/// Returns the step-time skew of one layer: the slowest rank's time divided by the time of a
+/// perfectly balanced group. At least 1; exactly 1 when there is no load.
 double layerSkew(const RankGroup &group, const LayerMap &map, const std::vector<double> &loads);
 
-/// Replicas that `to` has and `from` lacks, for one rank.
+/// Returns the experts in `to` that are not in `from`, for one rank.
 std::vector<ExpertId> missingExperts(const std::vector<ExpertId> &from,
                                      const std::vector<ExpertId> &to);
 
-/// Replicas that have to be loaded from the weight store to get from one map to another.
+/// Returns the number of replicas that a change from one map to another copies from the weight
+/// store.
 std::uint32_t countMoves(const LayerMap &from, const LayerMap &to);
 
-/// Takes the room that a layer's new replicas need from the replicas that each rank can still
-/// stage. Empty room is unbounded. While new replicas are staged, the old ones are still in use:
-/// without the room, the rank would run out of memory in the middle of a step.
-/// @return Whether there was room; otherwise nothing is taken.
+/// Subtracts a layer's new replicas from the number of replicas that each rank can still stage. An
+/// empty `capacity` is unlimited. The old replicas stay in use while new ones are staged: without
+/// enough capacity, the rank would run out of memory in the middle of a step.
+/// @return Whether the capacity was sufficient; if not, it is unchanged.
 bool reserveStagingCapacity(std::vector<std::uint32_t> &capacity, const LayerMap &current,
                             const LayerMap &next);
 
--- a/Source/Version/ExpertMapCache.cpp
+++ b/Source/Version/ExpertMapCache.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-/// Maps that are kept beside the one in force: the one being prepared, and some that were given up.
-constexpr std::size_t keptBesideInForce = 3;
+/// Maps that are kept besides the one in force: the one being prepared and some abandoned ones.
+constexpr std::size_t maxOtherMaps = 3;
 
-void forgetOldest(ExpertMapCache &cache)
+void evictOldest(ExpertMapCache &cache)
 {
     for (auto oldest = cache.byVersion.begin();
-         oldest != cache.byVersion.end() && cache.byVersion.size() > keptBesideInForce + 1;) {
+         oldest != cache.byVersion.end() && cache.byVersion.size() > maxOtherMaps + 1;) {
         if (oldest->first == cache.inForce)
             ++oldest;
         else
@@ -34,8 +34,8 @@
     if (map.empty()) {
         if (!hasMap(cache, profile, command.base)) {
             return failure(ErrorKind::NotFound,
-                           "the map of version " + std::to_string(command.base)
-                               + ", which the changes go on from, is not known here");
+                           "the base map, version " + std::to_string(command.base)
+                               + ", is not in the cache");
         }
         const RankMap base =
             command.base == 0 ? firstRankMap(profile, ranks) : cache.byVersion.at(command.base);
@@ -43,7 +43,7 @@
         map = std::move(changed);
     }
     cache.byVersion[command.order.version] = map;
-    forgetOldest(cache);
+    evictOldest(cache);
     return map;
 }
 
--- a/Source/Version/ExpertMapCache.h
+++ b/Source/Version/ExpertMapCache.h
@@ -8,23 +8,24 @@
 
 namespace wisteria {
 
-/// Whole maps by version, as a sidecar was ordered to prepare them: changes go on from them. A
-/// plain value.
+/// Complete maps by version, from the orders to prepare that a sidecar received. They are the base
+/// of later delta maps. A value type without I/O.
 struct ExpertMapCache
 {
     std::map<std::uint64_t, RankMap> byVersion;
-    /// Version in force at the own rank; its map is never forgotten.
+    /// Version in force at the sidecar's rank; its map is never evicted.
     std::uint64_t inForce = 0;
 };
 
-/// Whether the whole map of a version is known. Version 0 is worked out from the profile.
+/// Returns whether the complete map of a version is available. The map of version 0 is computed
+/// from the profile.
 bool hasMap(const ExpertMapCache &cache, const ExpertProfile &profile, std::uint64_t version);
 
-/// The whole map of an order to prepare, put together from its changes where it came as those, and
-/// kept for the next ones.
+/// Returns the complete map of an order to prepare and caches it. Where the order has changes
+/// instead of a map, they are applied to the map of its base version.
 /// @param ranks Size of the group.
-/// @return NotFound when the map that the changes go on from is not known, as after a start; the
-/// leader sends the whole map when it asks again. BadInput when the changes don't fit it.
+/// @return NotFound when the base map is not in the cache, as after a restart; the leader sends the
+/// complete map when it repeats the order. BadInput when the changes don't fit the base map.
 Result<RankMap> resolveMap(ExpertMapCache &cache, const ExpertProfile &profile, std::size_t ranks,
                            const RankCommand &command);
 
--- a/Source/Version/GroupDemand.cpp
+++ b/Source/Version/GroupDemand.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Ends a window of counts and takes it into what is known of the demand.
+/// Closes a window of counts and merges it into the known demand, unless it shows a shift and
+/// covers several passes.
 void closeWindow(GroupSwitch &group, const ExpertProfile &profile, TimePoint now)
 {
     const ExpertDemand window = std::exchange(group.window, {});
--- a/Source/Version/GroupDemand.h
+++ b/Source/Version/GroupDemand.h
@@ -4,16 +4,17 @@
 
 namespace wisteria {
 
-/// Takes in how often ranks of the group chose each expert lately.
+/// Adds counts of how often ranks of the group chose each expert since the last request.
 ///
-/// The counts of one question make up a window. When a window shows that demand has shifted, all
-/// that was known is forgotten. A window of several passes is left out as well, as it holds counts
-/// of before and after: a map made for the mixture fits neither, and another switch would have to
-/// follow.
+/// The counts that answer one request form a window. When a window shows that the demand has
+/// shifted, the earlier demand is discarded. If that window covers several passes, it is discarded
+/// too, because it mixes counts from before and after the shift: a map for the mixture fits neither
+/// demand and would need another switch.
 void addDemand(GroupSwitch &group, const ExpertProfile &profile, const SwitchTiming &timing,
                const CountsReply &reply, TimePoint now);
 
-/// Ends a window whose counts should all have arrived: a rank may be gone, or an answer lost.
+/// Closes a window that has waited longer than SwitchTiming::countsWindow for counts: a rank may be
+/// gone, or a reply lost.
 void closeOverdueWindow(GroupSwitch &group, const ExpertProfile &profile,
                         const SwitchTiming &timing, TimePoint now);
 
--- a/Source/Version/LayerSearch.cpp
+++ b/Source/Version/LayerSearch.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// Bounds of the sharpness k. Below, the bound is loose; above, it is the plain maximum.
+/// Range of k, see expectedSkew(). Below it the bound is loose; above it the bound equals the plain
+/// maximum.
 constexpr double minSharpness = 20;
 constexpr double maxSharpness = 300;
-/// Largest argument of the exponential; its sum over all ranks stays finite.
+/// Maximum argument of the exponential; the sum over all ranks stays finite.
 constexpr double maxExponent = 600;
 
-/// Loads scaled so that a balanced group's time is 1.
+/// Returns the loads scaled so that a balanced group's time is 1.
 std::vector<double> scaledLoads(const RankGroup &group, const std::vector<double> &loads)
 {
     const double total = std::accumulate(loads.begin(), loads.end(), 0.0);
@@ -45,12 +46,12 @@
         for (const ExpertId expert : map_.ranks[rank]) {
             held_[index(rank, expert)] = 1;
             holders_[expert].push_back(rank);
-            copied_[rank] += isNew(rank, expert) ? 1 : 0;
+            copied_[rank] += needsCopy(rank, expert) ? 1 : 0;
         }
     }
-    setUpRanks();
+    computeTimes();
     chooseSharpness();
-    setUpSum();
+    computeSum();
 }
 
 double LayerSearch::skew() const
@@ -68,7 +69,7 @@
     return sharpness_ * (mean - 1.0) + sharpness_ * sharpness_ * variance / 2;
 }
 
-void LayerSearch::setUpRanks()
+void LayerSearch::computeTimes()
 {
     mean_.assign(map_.ranks.size(), 0.0);
     variance_.assign(map_.ranks.size(), 0.0);
@@ -82,7 +83,7 @@
     }
 }
 
-void LayerSearch::setUpSum()
+void LayerSearch::computeSum()
 {
     terms_.resize(mean_.size());
     for (std::size_t rank = 0; rank < mean_.size(); ++rank)
@@ -90,9 +91,9 @@
     sum_ = std::accumulate(terms_.begin(), terms_.end(), 0.0);
 }
 
-/// The bound on the maximum of n normal variables is tightest at k = sqrt(2 log n) / deviation. A
-/// rank far above the others would overflow the exponential; k then shrinks, as nothing but that
-/// rank counts anyway.
+/// Chooses k. The bound on the maximum of n normal variables is tightest at
+/// k = sqrt(2 log n) / deviation. A rank whose time is far above the others would overflow the
+/// exponential; k is reduced then, as only that rank contributes anyway.
 void LayerSearch::chooseSharpness()
 {
     const double ranks = static_cast<double>(mean_.size());
@@ -112,33 +113,33 @@
 {
     if (limits_.stagingCapacity.empty())
         return true;
-    return copied_[rank] + (isNew(rank, expert) ? 1 : 0) <= limits_.stagingCapacity[rank];
+    return copied_[rank] + (needsCopy(rank, expert) ? 1 : 0) <= limits_.stagingCapacity[rank];
 }
 
-void LayerSearch::touch(std::size_t rank, double load, double square)
+void LayerSearch::addRankChange(std::size_t rank, double load, double square)
 {
     if (loadChange_[rank] == 0 && squareChange_[rank] == 0)
-        touched_.push_back(rank);
+        changedRanks_.push_back(rank);
     loadChange_[rank] += load;
     squareChange_[rank] += square;
 }
 
-/// Notes what the present holders of an expert gain or lose when its replicas go from `from` to
-/// `to`.
-void LayerSearch::touchHolders(ExpertId expert, std::size_t from, std::size_t to)
+/// Adds the load changes of an expert's current holders when its number of replicas changes from
+/// `from` to `to`.
+void LayerSearch::addHolderChanges(ExpertId expert, std::size_t from, std::size_t to)
 {
     const double before = loads_[expert] / static_cast<double>(from);
     const double after = loads_[expert] / static_cast<double>(to);
     for (const std::size_t holder : holders_[expert])
-        touch(holder, after - before, after * after - before * before);
+        addRankChange(holder, after - before, after * after - before * before);
 }
 
-/// Change of the sum by the touched ranks; clears the notes.
-double LayerSearch::touchedChange()
+/// Returns the change of the sum from the rank changes added since the last call, and clears them.
+double LayerSearch::evaluateChange()
 {
     double change = 0;
-    budget_.terms -= std::min<std::uint64_t>(budget_.terms, touched_.size());
-    for (const std::size_t rank : touched_) {
+    budget_.terms -= std::min<std::uint64_t>(budget_.terms, changedRanks_.size());
+    for (const std::size_t rank : changedRanks_) {
         const double speed = group_.ranks[rank].speed;
         const double mean = mean_[rank] + loadChange_[rank] / speed;
         const double square = squareChange_[rank] * relativeVariance_ / (speed * speed);
@@ -146,46 +147,48 @@
         loadChange_[rank] = 0;
         squareChange_[rank] = 0;
     }
-    touched_.clear();
+    changedRanks_.clear();
     return change;
 }
 
 double LayerSearch::replaceChange(std::size_t rank, std::size_t slot, ExpertId expert)
 {
     const std::size_t replicas = holders_[expert].size();
-    touchHolders(expert, replicas, replicas + 1);
+    addHolderChanges(expert, replicas, replicas + 1);
     const double added = loads_[expert] / static_cast<double>(replicas + 1);
-    touch(rank, added, added * added);
+    addRankChange(rank, added, added * added);
     if (slot != noSlot) {
         const ExpertId dropped = map_.ranks[rank][slot];
         const std::size_t left = holders_[dropped].size() - 1;
-        touchHolders(dropped, left + 1, left);
+        addHolderChanges(dropped, left + 1, left);
         const double share = loads_[dropped] / static_cast<double>(left);
-        touch(rank, -share, -share * share);
+        addRankChange(rank, -share, -share * share);
     }
-    return touchedChange();
+    return evaluateChange();
 }
 
-double LayerSearch::exchangeChange(std::size_t rank, std::size_t slot, std::size_t other,
+double LayerSearch::exchangeChange(std::size_t rank, std::size_t slot, std::size_t otherRank,
                                    std::size_t otherSlot)
 {
-    const ExpertId given = map_.ranks[rank][slot];
-    const ExpertId taken = map_.ranks[other][otherSlot];
-    const double out = loads_[given] / static_cast<double>(holders_[given].size());
-    const double in = loads_[taken] / static_cast<double>(holders_[taken].size());
-    touch(rank, in - out, in * in - out * out);
-    touch(other, out - in, out * out - in * in);
-    return touchedChange();
+    const ExpertId outgoing = map_.ranks[rank][slot];
+    const ExpertId incoming = map_.ranks[otherRank][otherSlot];
+    const double outgoingLoad = loads_[outgoing] / static_cast<double>(holders_[outgoing].size());
+    const double incomingLoad = loads_[incoming] / static_cast<double>(holders_[incoming].size());
+    addRankChange(rank, incomingLoad - outgoingLoad,
+                  incomingLoad * incomingLoad - outgoingLoad * outgoingLoad);
+    addRankChange(otherRank, outgoingLoad - incomingLoad,
+                  outgoingLoad * outgoingLoad - incomingLoad * incomingLoad);
+    return evaluateChange();
 }
 
 void LayerSearch::consider(std::size_t partner, const SearchStep &step)
 {
-    SearchStep &kept = steps_[partner];
-    if (kept.moves == 0 || step.change / step.moves < kept.change / kept.moves)
-        kept = step;
+    SearchStep &best = steps_[partner];
+    if (best.moves == 0 || step.change / step.moves < best.change / best.moves)
+        best = step;
 }
 
-/// A further replica of one of the busiest rank's experts on another rank.
+/// Evaluates adding a replica of one of the busiest rank's experts on another rank.
 void LayerSearch::considerFurtherReplica(std::size_t busiest, ExpertId expert, std::size_t rank)
 {
     if (holds(rank, expert) || mean_[rank] >= mean_[busiest] || !hasCapacity(rank, expert))
@@ -199,24 +202,25 @@
     }
 }
 
-/// The busiest rank gives an expert to another rank and takes the lightest one that it may have
-/// from it. Looking at the heavier ones as well led to the same maps with twice the work.
+/// Evaluates exchanging an expert of the busiest rank for the least loaded expert of another rank
+/// that the busiest rank can take. Evaluating the more loaded ones too led to the same maps with
+/// twice the work.
 void LayerSearch::considerExchange(std::size_t busiest, std::size_t slot, std::size_t rank)
 {
-    const ExpertId given = map_.ranks[busiest][slot];
-    if (holds(rank, given) || mean_[rank] >= mean_[busiest] || !hasCapacity(rank, given))
+    const ExpertId outgoing = map_.ranks[busiest][slot];
+    if (holds(rank, outgoing) || mean_[rank] >= mean_[busiest] || !hasCapacity(rank, outgoing))
         return;
     std::size_t lightest = noSlot;
-    double least = 0;
-    for (std::size_t other = 0; other < map_.ranks[rank].size(); ++other) {
-        const ExpertId taken = map_.ranks[rank][other];
-        const double share = loads_[taken] / static_cast<double>(holders_[taken].size());
-        if (holds(busiest, taken) || !hasCapacity(busiest, taken))
+    double minLoad = 0;
+    for (std::size_t otherSlot = 0; otherSlot < map_.ranks[rank].size(); ++otherSlot) {
+        const ExpertId incoming = map_.ranks[rank][otherSlot];
+        const double share = loads_[incoming] / static_cast<double>(holders_[incoming].size());
+        if (holds(busiest, incoming) || !hasCapacity(busiest, incoming))
             continue;
-        if (lightest != noSlot && share >= least)
+        if (lightest != noSlot && share >= minLoad)
             continue;
-        lightest = other;
-        least = share;
+        lightest = otherSlot;
+        minLoad = share;
     }
     if (lightest == noSlot)
         return;
@@ -224,7 +228,7 @@
     consider(rank, {busiest, slot, map_.ranks[rank][lightest], rank, lightest, 2, change});
 }
 
-/// The busiest rank drops an expert that others hold as well and takes another one's replica.
+/// Evaluates replacing a replicated expert of the busiest rank by another expert.
 void LayerSearch::considerDrop(std::size_t busiest, std::size_t slot)
 {
     if (holders_[map_.ranks[busiest][slot]].size() < 2)
@@ -237,36 +241,37 @@
     }
 }
 
-/// Time of the busiest rank that a step may bring in as a partner.
-double LayerSearch::partnersUpTo() const
+/// Returns the maximum time of a rank that a step may involve as a partner.
+double LayerSearch::maxPartnerTime() const
 {
-    if (limits_.partners == 0 || limits_.partners >= mean_.size())
+    if (limits_.maxPartners == 0 || limits_.maxPartners >= mean_.size())
         return std::numeric_limits<double>::infinity();
     std::vector<double> times = mean_;
-    const auto last = times.begin() + limits_.partners;
+    const auto last = times.begin() + limits_.maxPartners;
     std::nth_element(times.begin(), last, times.end());
     return *last;
 }
 
 const std::vector<SearchStep> &LayerSearch::scan()
 {
-    const double upTo = partnersUpTo();
+    const double timeLimit = maxPartnerTime();
     steps_.assign(map_.ranks.size(), SearchStep());
     const auto largest = std::max_element(terms_.begin(), terms_.end());
     const auto busiest = static_cast<std::size_t>(largest - terms_.begin());
     for (std::size_t slot = 0; slot < map_.ranks[busiest].size(); ++slot) {
         for (std::size_t rank = 0; rank < map_.ranks.size(); ++rank) {
-            if (rank == busiest || mean_[rank] > upTo)
+            if (rank == busiest || mean_[rank] > timeLimit)
                 continue;
             considerFurtherReplica(busiest, map_.ranks[busiest][slot], rank);
             considerExchange(busiest, slot, rank);
         }
     }
-    // Such a step seldom pays, and one that does uses up the busiest rank's room for copies: taken
-    // along with the others, it takes most of the work and leads to worse maps.
-    const bool pays = std::any_of(steps_.begin(), steps_.end(),
-                                  [](const SearchStep &step) { return step.change < 0; });
-    for (std::size_t slot = 0; slot < map_.ranks[busiest].size() && !pays; ++slot)
+    // Such a step rarely lowers the sum, and one that does uses up the busiest rank's staging
+    // capacity. Evaluated along with the others, these steps take most of the work and lead to
+    // worse maps.
+    const bool improves = std::any_of(steps_.begin(), steps_.end(),
+                                      [](const SearchStep &step) { return step.change < 0; });
+    for (std::size_t slot = 0; slot < map_.ranks[busiest].size() && !improves; ++slot)
         considerDrop(busiest, slot);
     std::erase_if(steps_, [](const SearchStep &step) { return step.moves == 0; });
     std::stable_sort(steps_.begin(), steps_.end(), [](const SearchStep &a, const SearchStep &b) {
@@ -275,35 +280,35 @@
     return steps_;
 }
 
-void LayerSearch::place(std::size_t rank, std::size_t slot, ExpertId expert)
+void LayerSearch::assignSlot(std::size_t rank, std::size_t slot, ExpertId expert)
 {
     if (slot == noSlot) {
         map_.ranks[rank].push_back(expert);
     } else {
         ExpertId &held = map_.ranks[rank][slot];
         held_[index(rank, held)] = 0;
-        copied_[rank] -= isNew(rank, held) ? 1 : 0;
-        std::vector<std::size_t> &former = holders_[held];
-        former.erase(std::find(former.begin(), former.end(), rank));
+        copied_[rank] -= needsCopy(rank, held) ? 1 : 0;
+        std::vector<std::size_t> &holders = holders_[held];
+        holders.erase(std::find(holders.begin(), holders.end(), rank));
         held = expert;
     }
     held_[index(rank, expert)] = 1;
-    copied_[rank] += isNew(rank, expert) ? 1 : 0;
+    copied_[rank] += needsCopy(rank, expert) ? 1 : 0;
     holders_[expert].push_back(rank);
 }
 
 void LayerSearch::apply(const SearchStep &step)
 {
     if (step.isExchange()) {
-        const ExpertId given = map_.ranks[step.rank][step.slot];
-        place(step.rank, step.slot, step.expert);
-        place(step.other, step.otherSlot, given);
+        const ExpertId outgoing = map_.ranks[step.rank][step.slot];
+        assignSlot(step.rank, step.slot, step.expert);
+        assignSlot(step.otherRank, step.otherSlot, outgoing);
     } else {
-        place(step.rank, step.slot, step.expert);
+        assignSlot(step.rank, step.slot, step.expert);
     }
-    // Computed afresh, so that rounding doesn't pile up over many steps.
-    setUpRanks();
-    setUpSum();
+    // Recomputed in full, so that rounding errors don't accumulate over many steps.
+    computeTimes();
+    computeSum();
 }
 
 } // namespace wisteria
--- a/Source/Version/LayerSearch.h
+++ b/Source/Version/LayerSearch.h
@@ -10,54 +10,55 @@
 
 namespace wisteria {
 
-/// Stands for a free slot.
+/// Slot number that denotes a free slot.
 inline constexpr std::size_t noSlot = std::numeric_limits<std::size_t>::max();
 
-/// One step of the search: on `rank`, the expert in `slot` gives way to `expert` (or a free slot
-/// takes it); in an exchange, the rank `other` takes the former expert in place of `expert`.
+/// One step of the search: `rank` replaces the expert in `slot` by `expert`, or adds it in a free
+/// slot. In an exchange, `otherRank` replaces `expert` in `otherSlot` by the expert that `rank`
+/// drops.
 struct SearchStep
 {
     std::size_t rank = 0;
     std::size_t slot = noSlot;
     ExpertId expert = 0;
-    std::size_t other = 0;
+    std::size_t otherRank = 0;
     std::size_t otherSlot = noSlot;
     std::uint32_t moves = 0;
-    /// Change of the sum that the skew is the logarithm of; below 0 for a gain.
+    /// Change of the sum whose logarithm expectedSkew() takes; negative for a gain.
     double change = 0;
 
     bool isExchange() const { return otherSlot != noSlot; }
 };
 
-/// The search's working state: the map, and of each rank the mean and variance of its time and its
-/// term of the sum that expectedSkew() takes the logarithm of.
+/// Working state of the search: the map, and for each rank the mean and variance of its time and
+/// its term exp(k mean + k^2 variance / 2) of the sum whose logarithm expectedSkew() takes.
 class LayerSearch
 {
 public:
-    /// @param current The map in force, which the moves are counted from.
+    /// @param current The map in force, which moves are counted from.
     LayerSearch(const RankGroup &group, const LayerMap &current, const LayerMap &start,
                 const SearchProblem &problem, const SearchLimits &limits, SearchBudget &budget);
 
-    /// Expected skew of the map as it stands.
+    /// Returns the expected skew of the map with the steps applied so far.
     double skew() const;
 
-    /// Expected skew that a change of the sum gains.
+    /// Returns the gain in expected skew from a change of the sum.
     double gainOf(double change) const;
 
     const LayerMap &map() const { return map_; }
 
-    /// Looks at the steps that touch the busiest rank and keeps, for each other rank that takes
-    /// part, the one that lowers the sum most a loaded replica or raises it least. Steps in which
-    /// the busiest rank only drops an expert for another one come in when no other step lowers it.
-    /// @return Those steps, the best first; the first may still be a loss.
+    /// Evaluates the steps that involve the busiest rank and keeps, for each partner rank, the one
+    /// with the lowest change of the sum per copied replica. Steps in which the busiest rank only
+    /// replaces one of its experts by another are evaluated when no other step lowers the sum.
+    /// @return The kept steps, the best first; even the first one may raise the sum.
     const std::vector<SearchStep> &scan();
 
-    /// Changes the map by a step.
+    /// Applies a step to the map.
     void apply(const SearchStep &step);
 
 private:
     bool holds(std::size_t rank, ExpertId expert) const { return held_[index(rank, expert)]; }
-    bool isNew(std::size_t rank, ExpertId expert) const
+    bool needsCopy(std::size_t rank, ExpertId expert) const
     {
         return currentHeld_[index(rank, expert)] == 0;
     }
@@ -66,22 +67,22 @@
         return rank * loads_.size() + expert;
     }
     double exponent(double mean, double variance) const;
-    void setUpRanks();
-    void setUpSum();
+    void computeTimes();
+    void computeSum();
     void chooseSharpness();
     bool hasCapacity(std::size_t rank, ExpertId expert) const;
-    void touch(std::size_t rank, double load, double square);
-    void touchHolders(ExpertId expert, std::size_t from, std::size_t to);
-    double touchedChange();
-    double partnersUpTo() const;
+    void addRankChange(std::size_t rank, double load, double square);
+    void addHolderChanges(ExpertId expert, std::size_t from, std::size_t to);
+    double evaluateChange();
+    double maxPartnerTime() const;
     double replaceChange(std::size_t rank, std::size_t slot, ExpertId expert);
-    double exchangeChange(std::size_t rank, std::size_t slot, std::size_t other,
+    double exchangeChange(std::size_t rank, std::size_t slot, std::size_t otherRank,
                           std::size_t otherSlot);
     void consider(std::size_t partner, const SearchStep &step);
     void considerFurtherReplica(std::size_t busiest, ExpertId expert, std::size_t rank);
     void considerExchange(std::size_t busiest, std::size_t slot, std::size_t rank);
     void considerDrop(std::size_t busiest, std::size_t slot);
-    void place(std::size_t rank, std::size_t slot, ExpertId expert);
+    void assignSlot(std::size_t rank, std::size_t slot, ExpertId expert);
 
     const RankGroup &group_;
     const SearchLimits &limits_;
@@ -91,8 +92,8 @@
     double relativeVariance_;
     double sharpness_ = 0;
     std::vector<char> held_;
-    /// What each rank holds by the map in force, and how many experts are new to it by now. Room
-    /// for copies is asked for at every step that is looked at.
+    /// Experts that each rank holds in the map in force, and the number that it has to copy so far.
+    /// Both are stored because every evaluated step checks the staging capacity.
     std::vector<char> currentHeld_;
     std::vector<std::uint32_t> copied_;
     std::vector<std::vector<std::size_t>> holders_;
@@ -100,10 +101,10 @@
     std::vector<double> variance_;
     std::vector<double> terms_;
     double sum_ = 0;
-    // Scratch of one evaluation: changes of the touched ranks.
+    // Scratch space of one evaluation: the changes of the ranks involved.
     std::vector<double> loadChange_;
     std::vector<double> squareChange_;
-    std::vector<std::size_t> touched_;
+    std::vector<std::size_t> changedRanks_;
     std::vector<SearchStep> steps_;
 };
 
--- a/Source/Version/Placement.cpp
+++ b/Source/Version/Placement.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::chrono::minutes period(10);
+constexpr std::chrono::minutes periodicInterval(10);
 constexpr std::array<std::pair<const char *, PlacementPolicy>, 4> policyNames = {{
     {"static", PlacementPolicy::Static},
     {"greedy", PlacementPolicy::Greedy},
@@ -21,11 +21,11 @@
     {"wisteria", PlacementPolicy::CostAware},
 }};
 
-LayerDecision stay(std::uint32_t layer, StayReason reason)
+LayerDecision unchangedLayer(std::uint32_t layer, StayReason reason)
 {
     LayerDecision decision;
     decision.layer = layer;
-    decision.stay = reason;
+    decision.stayReason = reason;
     return decision;
 }
 
@@ -33,18 +33,18 @@
                            std::uint32_t layer)
 {
     if (placement.newestLoads.empty() || placement.decidedAtReports == placement.estimate.reports)
-        return stay(layer, StayReason::NoNewReport);
+        return unchangedLayer(layer, StayReason::NoNewReport);
     LayerDecision decision;
     decision.layer = layer;
     decision.next = greedyLayerMap(group, placement.newestLoads);
     decision.moves = countMoves(placement.map, *decision.next);
     if (decision.moves == 0)
-        return stay(layer, StayReason::GainWithinNoise);
+        return unchangedLayer(layer, StayReason::GainWithinNoise);
     return decision;
 }
 
-/// Replicas that each rank can stage beside all that it holds; empty when no rank's memory is
-/// bounded.
+/// Returns the number of replicas that each rank can stage beside those that it holds; empty when
+/// no rank's memory is limited.
 std::vector<std::uint32_t> stagingCapacityOf(const RankGroup &group, const PlacementState &state)
 {
     const bool bounded = std::any_of(group.ranks.begin(), group.ranks.end(),
@@ -66,14 +66,14 @@
     return capacity;
 }
 
-/// What decides a layer under the policies that look at one layer alone.
+/// Decides on one layer for the policies that treat each layer separately.
 LayerDecision decideLayer(PlacementPolicy policy, const RankGroup &group,
                           const LayerPlacement &placement, std::uint32_t layer, bool periodicDue)
 {
     if (policy == PlacementPolicy::Static)
-        return stay(layer, StayReason::PolicyNeverMoves);
+        return unchangedLayer(layer, StayReason::PolicyNeverMoves);
     if (policy == PlacementPolicy::Periodic && !periodicDue)
-        return stay(layer, StayReason::NotDue);
+        return unchangedLayer(layer, StayReason::NotDue);
     return decideGreedy(group, placement, layer);
 }
 
@@ -88,7 +88,7 @@
         const LayerPlacement &placement = state.layers[layer];
         LayerDecision next = decideLayer(policy, group, placement, layer, periodicDue);
         if (next.next && !reserveStagingCapacity(stagingCapacity, placement.map, *next.next))
-            next = stay(layer, StayReason::NoStagingCapacity);
+            next = unchangedLayer(layer, StayReason::NoStagingCapacity);
         decision.layers.push_back(std::move(next));
     }
     return decision;
@@ -98,7 +98,7 @@
 {
     PlacementDecision decision;
     for (std::uint32_t layer = 0; layer < state.layers.size(); ++layer)
-        decision.layers.push_back(stay(layer, StayReason::SwitchPending));
+        decision.layers.push_back(unchangedLayer(layer, StayReason::SwitchPending));
     return decision;
 }
 
@@ -107,7 +107,8 @@
     const bool reported =
         std::any_of(state.layers.begin(), state.layers.end(),
                     [](const LayerPlacement &layer) { return layer.estimate.reports > 0; });
-    return reported && (!state.lastPeriodic || now - *state.lastPeriodic >= period);
+    return reported
+        && (!state.lastPeriodicDecision || now - *state.lastPeriodicDecision >= periodicInterval);
 }
 
 } // namespace
@@ -132,19 +133,19 @@
     case StayReason::NotDue:
         return "the next decision is not due yet";
     case StayReason::NoDrift:
-        return "loads and ranks are what the present map was made for";
+        return "loads and ranks still match those that the current map was computed for";
     case StayReason::NoNewReport:
-        return "no load report came since the last decision";
+        return "no load report arrived since the last decision";
     case StayReason::TooFewReports:
-        return "too few load reports came to tell load from noise";
+        return "too few load reports arrived to distinguish load from noise";
     case StayReason::GainWithinNoise:
-        return "the gain can't be told from noise";
+        return "the gain is not larger than the noise";
     case StayReason::NoPayback:
-        return "no move would pay back before the loads have drifted on";
+        return "no move would pay back before the loads drift";
     case StayReason::NoStagingCapacity:
-        return "a rank lacks the memory to stage new weights beside the old";
+        return "a rank lacks the memory to stage new weights beside the old ones";
     case StayReason::SwitchPending:
-        return "an earlier switch is still under way";
+        return "an earlier switch is in progress";
     }
     return "unknown";
 }
@@ -162,7 +163,7 @@
         return failure(ErrorKind::BadInput,
                        "the map has " + std::to_string(map.layers.size())
                            + " layers, but the group has " + std::to_string(group.layers)
-                           + "; make a map for this group");
+                           + "; use a map for this group");
     }
     PlacementState state;
     for (const LayerMap &layer : map.layers) {
@@ -199,7 +200,7 @@
     for (LayerPlacement &layer : state.layers)
         layer.decidedAtReports = layer.estimate.reports;
     if (periodicDue)
-        state.lastPeriodic = now;
+        state.lastPeriodicDecision = now;
     state.switching = decision.moves();
     return decision;
 }
--- a/Source/Version/Placement.h
+++ b/Source/Version/Placement.h
@@ -12,39 +12,39 @@
 
 namespace wisteria {
 
-/// Ways to place experts.
+/// Policies for the placement of experts.
 enum class PlacementPolicy {
-    Static, ///< Never moves.
-    Greedy, ///< From scratch at every report, as if moves cost nothing.
-    Periodic, ///< As greedy, every ten minutes.
-    CostAware, ///< Moves what pays back within the time that the drift leaves.
+    Static, ///< Never moves experts.
+    Greedy, ///< Computes a new map at every report, regardless of the cost of moves.
+    Periodic, ///< Same as Greedy, but every ten minutes.
+    CostAware, ///< Moves experts only when the gain exceeds the cost before the loads drift.
 };
 
-/// The policy of that name, in lower case.
-/// @return BadInput that lists the names.
+/// Returns the policy with a lower-case name.
+/// @return BadInput that lists the valid names when the name is unknown.
 Result<PlacementPolicy> placementPolicyFromName(const std::string &name);
 
-/// Why a layer keeps its map.
+/// Reason why a layer keeps its map.
 enum class StayReason {
-    None, ///< It does not stay.
+    None, ///< The layer gets a new map.
     PolicyNeverMoves, ///< The policy is static.
     NotDue, ///< The policy's next decision is not due yet.
-    NoDrift, ///< Loads and ranks are what the present map was made for.
-    NoNewReport, ///< No report came since the last decision.
+    NoDrift, ///< Loads and rank speeds still match those that the current map was computed for.
+    NoNewReport, ///< No load report has arrived since the last decision.
     TooFewReports, ///< The estimate is still too uncertain for a first move.
-    GainWithinNoise, ///< What could be gained can't be told from noise.
-    NoPayback, ///< The moves would cost more than they gain before the loads have drifted on.
-    NoStagingCapacity, ///< A rank lacks the memory to stage the new weights beside the old.
-    SwitchPending, ///< A switch to an earlier decision's map is still under way.
+    GainWithinNoise, ///< The possible gain is not larger than the noise.
+    NoPayback, ///< The moves would cost more than they gain before the loads drift.
+    NoStagingCapacity, ///< A rank lacks the memory to stage the new weights beside the old ones.
+    SwitchPending, ///< A switch to the maps of an earlier decision is in progress.
 };
 
-/// The reason in words, for logs and operators.
+/// Returns a description of the reason, for logs and operators.
 const char *stayReasonText(StayReason reason);
 
-/// What a map was made for. Empty for the map that a group began with.
+/// The estimate that a map was computed from. Empty for the initial map of a group.
 struct MapBasis
 {
-    /// Estimated share of each expert, and how uncertain it was.
+    /// Estimated share of each expert, and LoadForecast::uncertainty of that estimate.
     std::vector<double> shares;
     double uncertainty = 0;
     /// LoadForecast::settled of that estimate.
@@ -52,67 +52,69 @@
     std::vector<double> rankSpeeds;
 };
 
-/// What a decision says of one layer.
+/// The decision on one layer.
 struct LayerDecision
 {
     std::uint32_t layer = 0;
-    /// The new map; absent when the layer stays, because of `stay`.
+    /// The new map; absent when the layer keeps its map for `stayReason`.
     std::optional<LayerMap> next;
-    StayReason stay = StayReason::None;
-    /// Expected skew of the present and of the new map; only the wisteria policy fills them in.
+    StayReason stayReason = StayReason::None;
+    /// Expected skew of the current and of the new map; only set by the cost-aware policy.
     double currentSkew = 0;
     double nextSkew = 0;
-    /// Replicas that have to be loaded.
+    /// Number of replicas to copy.
     std::uint32_t moves = 0;
-    /// What the new map was made for; only the wisteria policy fills it in.
+    /// Estimate that the new map was computed from; only set by the cost-aware policy.
     MapBasis basis;
 };
 
-/// A decision on the whole group.
+/// The decision on all layers of a group.
 struct PlacementDecision
 {
     std::vector<LayerDecision> layers;
 
-    /// Whether any layer moves.
+    /// Returns whether any layer gets a new map.
     bool moves() const;
 };
 
-/// One layer as decisions see it.
+/// State of one layer that decisions use.
 struct LayerPlacement
 {
     LayerMap map;
     LoadEstimate estimate;
-    /// The newest report as it came, for the policies that don't smooth.
+    /// Loads of the newest report, for the policies that don't smooth.
     std::vector<double> newestLoads;
-    /// Reports seen when the last decision was made.
+    /// Number of reports received when the last decision was made.
     std::uint32_t decidedAtReports = 0;
-    /// What the present map was made for.
+    /// Estimate that the current map was computed from.
     MapBasis basis;
 };
 
-/// All that placement remembers of a group. A plain value.
+/// Placement state of a group. A value type without I/O.
 struct PlacementState
 {
     std::vector<LayerPlacement> layers;
-    /// Set from a decision that moves until its switch ends.
+    /// True from a decision with a new map until its switch ends.
     bool switching = false;
-    /// When the periodic policy last decided.
-    std::optional<TimePoint> lastPeriodic;
+    /// Time of the periodic policy's last decision.
+    std::optional<TimePoint> lastPeriodicDecision;
 };
 
-/// The state of a group that runs on the given map.
-/// @return BadSettings for a group that can't be, BadInput for a map that does not fit it.
+/// Returns the initial state of a group with the given map in force.
+/// @return BadSettings for an invalid group, BadInput for a map that does not fit it.
 Result<PlacementState> startPlacement(const RankGroup &group, const ExpertMap &map);
 
-/// Takes in a load report.
-/// @return BadInput for a report that does not fit the group; the state is then unchanged.
+/// Adds a load report.
+/// @return BadInput for a report that does not fit the group; the state is unchanged then.
 Result<void> addLoadReport(const RankGroup &group, PlacementState &state, const LoadReport &report);
 
-/// Decides on new maps. After a decision that moves, every layer stays until switchDone().
+/// Decides on new maps. After a decision with a new map, every layer keeps its map until
+/// switchDone().
 PlacementDecision decidePlacement(PlacementPolicy policy, const RankGroup &group,
                                   PlacementState &state, TimePoint now);
 
-/// Tells how the switch to a decision's maps ended: they are in force, or the old ones stay.
+/// Ends the switch to a decision's maps.
+/// @param inForce Whether the new maps are in force; otherwise the old ones stay in force.
 void switchDone(PlacementState &state, const PlacementDecision &decision, bool inForce);
 
 } // namespace wisteria
--- a/Source/Version/PlacementCostAware.cpp
+++ b/Source/Version/PlacementCostAware.cpp
@@ -14,63 +14,64 @@
 
 namespace {
 
-/// Reports that the first move of a layer waits for. A map that fits the noise of fewer reports
-/// would have to be moved again.
+/// Number of reports before the first move of a layer. A map from fewer reports fits their noise
+/// and would soon need another move.
 constexpr std::uint32_t reportsBeforeFirstMove = 6;
-/// How many standard deviations of the estimates' own errors a gain must exceed.
+/// Minimum gain, in standard deviations of the error of both estimates, after the loads drifted.
 constexpr double significantDeviations = 0.75;
-/// The same shortly after an expert jumped, as the first map for it rests on a single report.
+/// The same shortly after the load of an expert jumped, because the first map after the jump is
+/// based on a single report.
 constexpr double unsettledDeviations = 0.3;
-/// Without drift, a gain must exceed this many: the first estimate was far off, or the noise is not
-/// what it is taken for.
-constexpr double certainDeviations = 3.0;
-/// How much the loads must differ from those that a map was made for, in units of the variance that
+/// The same without drift. Such a gain means that the first estimate was wrong, or that the noise
+/// is underestimated.
+constexpr double noDriftDeviations = 3.0;
+/// Minimum difference from the loads that a map was computed for, in units of the variance that
 /// noise explains, to count as drift.
 constexpr double driftFactor = 2.2;
-/// A move must gain this multiple of what it costs.
+/// Minimum ratio of a move's gain to its cost.
 constexpr double paybackFactor = 2.0;
-/// Skew above that of a map made from scratch at which the search begins afresh.
+/// Skew above that of a greedy map from which the search restarts from other maps.
 constexpr double restartSkew = 0.02;
-/// Times, relative to a balanced group's, up to which a fresh beginning leaves experts in place.
+/// Times of a rank, relative to a balanced group, up to which a restart leaves experts in place.
 constexpr std::array<double, 3> restartCeilings = {1.0, 0.95, 0.85};
 
-/// Skew above that of a map made from scratch at which steps from the present map aren't tried, as
-/// they would be too many.
-constexpr double hopelessSkew = 0.25;
-/// Terms that a decision evaluates at most; some 5 ms on a core of today.
-constexpr std::uint64_t decisionTerms = 400000;
+/// Skew above that of a greedy map from which no steps from the current map are tried, because too
+/// many would be needed.
+constexpr double maxIncrementalSkew = 0.25;
+/// Maximum number of terms that a decision evaluates, see SearchBudget; about 5 ms on one core.
+constexpr std::uint64_t maxDecisionTerms = 400000;
 
-/// What is known of a layer before any search.
-struct LayerOutlook
+/// Assessment of a layer before the search.
+struct LayerAssessment
 {
     std::uint32_t layer = 0;
     LoadForecast forecast;
     SearchProblem problem;
     double currentSkew = 1;
-    /// Expected skew of a map made from scratch: about what a search can reach.
-    double scratchSkew = 1;
-    /// Gain that the moves must reach together.
+    /// Expected skew of a greedy map, approximately what a search can reach.
+    double greedySkew = 1;
+    /// Minimum total gain of all moves.
     double neededGain = 0;
-    /// Why the layer stays, if that is clear without a search.
-    StayReason stay = StayReason::None;
+    /// Reason why the layer keeps its map, if no search is needed to know it.
+    StayReason stayReason = StayReason::None;
 };
 
-/// Skew that one loaded replica must gain to be worth its share of the weight store's time, by the
-/// declared weights, before the loads have drifted on.
-double paybackSkew(const RankGroup &group, const LoadForecast &forecast)
+/// Returns the minimum gain in skew of one copied replica that justifies its use of the weight
+/// store's time, by the declared weights, before the loads drift.
+double paybackGain(const RankGroup &group, const LoadForecast &forecast)
 {
     const double horizon = std::chrono::duration<double>(forecast.horizon).count();
-    const double loading = static_cast<double>(group.expertBytes) / group.storeBytesPerSecond;
-    const double worth = group.skewWeight * horizon / group.layers;
-    if (worth <= 0)
+    const double copySeconds = static_cast<double>(group.expertBytes) / group.storeBytesPerSecond;
+    const double valuePerSkew = group.skewWeight * horizon / group.layers;
+    if (valuePerSkew <= 0)
         return std::numeric_limits<double>::infinity();
-    return paybackFactor * group.costWeight * loading / worth;
+    return paybackFactor * group.costWeight * copySeconds / valuePerSkew;
 }
 
-/// Standard deviation that the errors of two estimates feign of the time of the rank that depends
-/// most on single experts: of the estimate that the present map was made for, and of the newest.
-/// With noise alone, a better estimate always seems to offer a gain of this order; a map that
-/// chased it would move for ever without drift.
+/// Returns the standard deviation of the time of the rank that depends most on single experts,
+/// caused by the errors of two estimates: the one that the current map was computed from and the
+/// newest one. Even with noise alone, a better estimate always suggests a gain of this order; a
+/// policy that follows it would move experts forever without drift.
 double noiseSkew(const RankGroup &group, const LayerPlacement &placement,
                  const LoadForecast &forecast)
 {
@@ -98,10 +99,11 @@
     return speeds;
 }
 
-/// Whether loads or ranks differ from what the present map was made for by more than the errors of
-/// both estimates explain, or an expert had just jumped and its load was barely known: the mean
-/// squared difference, in units of its variance, is 1 without drift. Noise makes a new estimate
-/// differ a little everywhere, which moves must not chase.
+/// Returns whether the loads differ from those that the current map was computed for by more than
+/// the errors of both estimates explain, or the rank speeds differ at all. Also true when the map
+/// was computed just after a jump, from a barely known load. Without drift, the mean squared
+/// difference in units of its variance is 1: noise makes a new estimate differ slightly everywhere,
+/// and moves must not follow it.
 bool hasDrifted(const RankGroup &group, const MapBasis &basis, const LoadForecast &forecast)
 {
     if (basis.shares.empty() || !basis.settled || basis.rankSpeeds != speedsOf(group))
@@ -125,97 +127,97 @@
     return slots;
 }
 
-/// Gain that can't be explained by noise.
+/// Returns the minimum gain that noise does not explain.
 double neededGain(const RankGroup &group, const LayerPlacement &placement,
                   const LoadForecast &forecast, bool drifted)
 {
-    double deviations = drifted ? significantDeviations : certainDeviations;
+    double deviations = drifted ? significantDeviations : noDriftDeviations;
     if (!placement.basis.shares.empty() && !placement.basis.settled)
         deviations = unsettledDeviations;
     return deviations * noiseSkew(group, placement, forecast);
 }
 
-LayerOutlook assessLayer(const RankGroup &group, const LayerPlacement &placement,
-                         std::uint32_t layer)
+LayerAssessment assessLayer(const RankGroup &group, const LayerPlacement &placement,
+                            std::uint32_t layer)
 {
-    LayerOutlook outlook;
-    outlook.layer = layer;
+    LayerAssessment assessment;
+    assessment.layer = layer;
     const LoadEstimate &estimate = placement.estimate;
     if (placement.decidedAtReports == estimate.reports)
-        outlook.stay = StayReason::NoNewReport;
+        assessment.stayReason = StayReason::NoNewReport;
     else if (estimate.reports < reportsBeforeFirstMove)
-        outlook.stay = StayReason::TooFewReports;
-    if (outlook.stay != StayReason::None)
-        return outlook;
-    outlook.forecast = forecastLoads(estimate);
-    outlook.problem = {outlook.forecast.shares, outlook.forecast.noise};
-    outlook.currentSkew = expectedSkew(group, placement.map, outlook.problem);
-    outlook.scratchSkew =
-        expectedSkew(group, greedyLayerMap(group, outlook.problem.loads), outlook.problem);
-    const bool drifted = hasDrifted(group, placement.basis, outlook.forecast);
-    outlook.neededGain = neededGain(group, placement, outlook.forecast, drifted);
-    if (outlook.currentSkew - outlook.scratchSkew < outlook.neededGain)
-        outlook.stay = drifted ? StayReason::GainWithinNoise : StayReason::NoDrift;
-    return outlook;
+        assessment.stayReason = StayReason::TooFewReports;
+    if (assessment.stayReason != StayReason::None)
+        return assessment;
+    assessment.forecast = forecastLoads(estimate);
+    assessment.problem = {assessment.forecast.shares, assessment.forecast.noise};
+    assessment.currentSkew = expectedSkew(group, placement.map, assessment.problem);
+    assessment.greedySkew =
+        expectedSkew(group, greedyLayerMap(group, assessment.problem.loads), assessment.problem);
+    const bool drifted = hasDrifted(group, placement.basis, assessment.forecast);
+    assessment.neededGain = neededGain(group, placement, assessment.forecast, drifted);
+    if (assessment.currentSkew - assessment.greedySkew < assessment.neededGain)
+        assessment.stayReason = drifted ? StayReason::GainWithinNoise : StayReason::NoDrift;
+    return assessment;
 }
 
-/// Improves the present map step by step. Where that gets stuck well above what a map from scratch
-/// would reach, begins again from maps that only keep the experts in place that fit. Such maps load
-/// too much at once for ranks that have little room to stage.
+/// Improves the current map step by step. If the result stays well above a greedy map, restarts
+/// from sticky maps, which leave only those experts in place that fit below a ceiling. Restarts are
+/// skipped when the staging capacity is limited, because sticky maps copy too much at once.
 SearchResult searchLayer(const RankGroup &group, const LayerMap &current,
-                         const LayerOutlook &outlook, const SearchLimits &limits,
+                         const LayerAssessment &assessment, const SearchLimits &limits,
                          SearchBudget &budget)
 {
     SearchResult best;
     best.map = current;
-    best.currentSkew = outlook.currentSkew;
-    best.foundSkew = outlook.currentSkew;
+    best.currentSkew = assessment.currentSkew;
+    best.foundSkew = assessment.currentSkew;
     const bool boundedCapacity = !limits.stagingCapacity.empty();
-    if (boundedCapacity || outlook.currentSkew < outlook.scratchSkew + hopelessSkew)
-        best = improveLayerMap(group, current, current, outlook.problem, limits, budget);
-    if (boundedCapacity || best.foundSkew < outlook.scratchSkew + restartSkew)
+    if (boundedCapacity || assessment.currentSkew < assessment.greedySkew + maxIncrementalSkew)
+        best = improveLayerMap(group, current, current, assessment.problem, limits, budget);
+    if (boundedCapacity || best.foundSkew < assessment.greedySkew + restartSkew)
         return best;
     for (const double ceiling : restartCeilings) {
         if (budget.terms == 0 && best.moves > 0)
             break;
-        const LayerMap start = stickyLayerMap(group, outlook.problem.loads, current, ceiling);
+        const LayerMap start = stickyLayerMap(group, assessment.problem.loads, current, ceiling);
         SearchResult found =
-            improveLayerMap(group, current, start, outlook.problem, limits, budget);
-        const double furtherCost = limits.minGainPerMove * found.moves;
-        if (found.foundSkew + furtherCost < best.foundSkew + limits.minGainPerMove * best.moves)
+            improveLayerMap(group, current, start, assessment.problem, limits, budget);
+        const double foundCost = limits.minGainPerMove * found.moves;
+        if (found.foundSkew + foundCost < best.foundSkew + limits.minGainPerMove * best.moves)
             best = std::move(found);
     }
     return best;
 }
 
 LayerDecision decideLayer(const RankGroup &group, const LayerPlacement &placement,
-                          const LayerOutlook &outlook, std::vector<std::uint32_t> &stagingCapacity,
-                          SearchBudget &budget)
+                          const LayerAssessment &assessment,
+                          std::vector<std::uint32_t> &stagingCapacity, SearchBudget &budget)
 {
     LayerDecision decision;
-    decision.layer = outlook.layer;
-    decision.stay = outlook.stay;
-    if (outlook.stay != StayReason::None)
+    decision.layer = assessment.layer;
+    decision.stayReason = assessment.stayReason;
+    if (assessment.stayReason != StayReason::None)
         return decision;
     SearchLimits limits;
     limits.maxMoves = slotsOf(group);
-    limits.minGainPerMove = paybackSkew(group, outlook.forecast);
+    limits.minGainPerMove = paybackGain(group, assessment.forecast);
     limits.stagingCapacity = stagingCapacity;
-    SearchResult found = searchLayer(group, placement.map, outlook, limits, budget);
+    SearchResult found = searchLayer(group, placement.map, assessment, limits, budget);
     if (found.moves == 0)
-        decision.stay = StayReason::NoPayback;
-    else if (found.currentSkew - found.foundSkew < outlook.neededGain)
-        decision.stay = StayReason::GainWithinNoise;
+        decision.stayReason = StayReason::NoPayback;
+    else if (found.currentSkew - found.foundSkew < assessment.neededGain)
+        decision.stayReason = StayReason::GainWithinNoise;
     else if (!reserveStagingCapacity(stagingCapacity, placement.map, found.map))
-        decision.stay = StayReason::NoStagingCapacity;
-    if (decision.stay != StayReason::None)
+        decision.stayReason = StayReason::NoStagingCapacity;
+    if (decision.stayReason != StayReason::None)
         return decision;
     decision.next = std::move(found.map);
     decision.currentSkew = found.currentSkew;
     decision.nextSkew = found.foundSkew;
     decision.moves = found.moves;
-    decision.basis = {outlook.forecast.shares, outlook.forecast.uncertainty,
-                      outlook.forecast.settled, speedsOf(group)};
+    decision.basis = {assessment.forecast.shares, assessment.forecast.uncertainty,
+                      assessment.forecast.settled, speedsOf(group)};
     return decision;
 }
 
@@ -224,19 +226,19 @@
 PlacementDecision decideCostAware(const RankGroup &group, const PlacementState &state,
                                   std::vector<std::uint32_t> stagingCapacity)
 {
-    std::vector<LayerOutlook> outlooks;
+    std::vector<LayerAssessment> assessments;
     for (std::uint32_t layer = 0; layer < state.layers.size(); ++layer)
-        outlooks.push_back(assessLayer(group, state.layers[layer], layer));
-    std::stable_sort(outlooks.begin(), outlooks.end(),
-                     [](const LayerOutlook &a, const LayerOutlook &b) {
-                         return a.currentSkew - a.scratchSkew > b.currentSkew - b.scratchSkew;
+        assessments.push_back(assessLayer(group, state.layers[layer], layer));
+    std::stable_sort(assessments.begin(), assessments.end(),
+                     [](const LayerAssessment &a, const LayerAssessment &b) {
+                         return a.currentSkew - a.greedySkew > b.currentSkew - b.greedySkew;
                      });
-    SearchBudget budget{decisionTerms};
+    SearchBudget budget{maxDecisionTerms};
     PlacementDecision decision;
     decision.layers.resize(state.layers.size());
-    for (const LayerOutlook &outlook : outlooks) {
-        decision.layers[outlook.layer] =
-            decideLayer(group, state.layers[outlook.layer], outlook, stagingCapacity, budget);
+    for (const LayerAssessment &assessment : assessments) {
+        decision.layers[assessment.layer] =
+            decideLayer(group, state.layers[assessment.layer], assessment, stagingCapacity, budget);
     }
     return decision;
 }
--- a/Source/Version/PlacementCostAware.h
+++ b/Source/Version/PlacementCostAware.h
@@ -7,10 +7,10 @@
 
 namespace wisteria {
 
-/// The wisteria policy: moves what pays back within the time that the drift leaves, and nothing
-/// that noise may feign. The work of one call is bounded; the layers with the most to gain come
-/// first.
-/// @param stagingCapacity Replicas that each rank can stage; empty when unbounded.
+/// Decides for the cost-aware policy, named "wisteria": moves experts only when the gain exceeds
+/// the cost before the loads drift, and when noise does not explain the gain. The work of one call
+/// is bounded; layers with the largest possible gain are processed first.
+/// @param stagingCapacity Replicas that each rank can stage; empty when unlimited.
 PlacementDecision decideCostAware(const RankGroup &group, const PlacementState &state,
                                   std::vector<std::uint32_t> stagingCapacity);
 
--- a/Source/Version/PlacementEstimate.cpp
+++ b/Source/Version/PlacementEstimate.cpp
@@ -10,22 +10,22 @@
 
 /// Weight of the newest forecast error in the smoothed errors.
 constexpr double errorGain = 0.05;
-/// A slower row is preferred as long as its error is within this factor of the least.
-constexpr double toleratedError = 1.08;
-/// A difference of this many standard deviations is a jump when it comes twice on one side.
-constexpr double surprisingDeviations = 4.0;
-/// A difference of this many standard deviations is a jump at once.
+/// A row with a lower gain is preferred while its error is within this factor of the minimum.
+constexpr double errorTolerance = 1.08;
+/// Two consecutive differences of more standard deviations than this, with the same sign, are a
+/// jump.
+constexpr double outlierDeviations = 4.0;
+/// A single difference of more standard deviations than this is a jump.
 constexpr double jumpDeviations = 8.0;
-/// Jumps are told from noise only once this many reports have shown how large the noise is.
+/// Number of reports that estimate the noise before jumps are detected.
 constexpr std::uint32_t reportsBeforeJumps = 20;
-/// Reports that an expert's estimate must rest on to be settled.
+/// Minimum number of reports in an expert's estimate for it to be settled.
 constexpr std::uint32_t reportsToSettle = 6;
-/// Relative noise is taken to be at least this, so that silent traces don't make every change a
-/// jump.
+/// Lower bound of the relative noise, so that without noise not every change is a jump.
 constexpr double minNoise = 0.01;
-/// Weight of the newest interval in the usual interval.
+/// The newest interval has 1/intervalWeight of the weight in the smoothed interval.
 constexpr int intervalWeight = 8;
-/// Reports that a horizon spans at most.
+/// Maximum horizon in report intervals.
 constexpr double maxHorizonReports = 400;
 
 Result<std::vector<double>> sharesOf(const LoadReport &report, std::uint32_t experts)
@@ -39,7 +39,7 @@
     for (const double load : report.loads) {
         if (!std::isfinite(load) || load < 0) {
             return failure(ErrorKind::BadInput,
-                           "a load report has a load that is negative or not a number; "
+                           "a load report has a load that is negative or not finite; "
                            "report tokens counted since the last report");
         }
     }
@@ -50,35 +50,35 @@
     return shares;
 }
 
-/// The slowest row whose error is about the least. Rows differ by a few per cent when there is
-/// nothing but noise, so the very least is often a fast row by chance, and the next map would fit
-/// the noise that row let through.
+/// Returns the row with the lowest gain whose error is close to the minimum. With noise alone, the
+/// errors differ by a few per cent, so the minimum is often a row with a high gain by chance, and
+/// the next map would fit the noise that this row lets through.
 std::size_t bestRow(const LoadEstimate &estimate)
 {
-    const double least = *std::min_element(estimate.errors.begin(), estimate.errors.end());
+    const double minError = *std::min_element(estimate.errors.begin(), estimate.errors.end());
     std::size_t row = 0;
-    while (estimate.errors[row] > least * toleratedError)
+    while (estimate.errors[row] > minError * errorTolerance)
         ++row;
     return row;
 }
 
-void begin(LoadEstimate &estimate, const std::vector<double> &shares)
+void initializeEstimate(LoadEstimate &estimate, const std::vector<double> &shares)
 {
     estimate.levels.fill(shares);
-    estimate.reportsOf.assign(shares.size(), 1);
-    estimate.surprise.assign(shares.size(), 0);
+    estimate.reportsPerExpert.assign(shares.size(), 1);
+    estimate.lastOutlierSigns.assign(shares.size(), 0);
 }
 
-/// Gain of a row for one expert: the plain mean until it rests on enough reports, and more after a
-/// gap, because the loads drifted on unseen meanwhile.
-double gainFor(double gain, std::uint32_t reportsOf, double intervals)
+/// Returns the gain of a row for one expert: that of the plain mean until enough reports are
+/// included, and more after a gap in the reports, because the loads kept drifting meanwhile.
+double gainFor(double gain, std::uint32_t reports, double intervals)
 {
     const double sinceLast = 1.0 - std::pow(1.0 - gain, intervals);
-    return std::max(sinceLast, 1.0 / (reportsOf + 1.0));
+    return std::max(sinceLast, 1.0 / (reports + 1.0));
 }
 
-/// Variance of a smoothed level in units of the variance of one report: that of exponential
-/// smoothing in the long run, and that of the plain mean before.
+/// Returns the variance of a smoothed level in units of the variance of one report: that of the
+/// plain mean at first, and that of exponential smoothing in the long run.
 double uncertaintyOf(double gain, std::uint32_t reports)
 {
     return std::max(gain / (2.0 - gain), 1.0 / reports);
@@ -92,71 +92,71 @@
     return std::max(1.0, elapsed.count() / static_cast<double>(estimate.interval.count()));
 }
 
-/// Squared difference of a share from its level, relative to the level. Weighed by the levels
-/// themselves, these sum up to the squared relative noise; weighed by their squares, the hottest
-/// expert alone would make up most of it.
-double weighedSquare(double share, double level, std::size_t experts)
+/// Returns the squared difference of a share from its level, divided by the level. These values sum
+/// up to the squared relative noise. Without the division, the most loaded expert would dominate
+/// the sum.
+double weightedSquare(double share, double level, std::size_t experts)
 {
     const double floor = minNoise / static_cast<double>(experts);
     const double difference = share - level;
     return difference * difference / (level + floor);
 }
 
-/// Whether a load has left its level for good: smoothing would take many reports to follow, and the
-/// rank that holds the expert would be the straggler for all of them.
+/// Returns whether a load has jumped to another level. Smoothing would take many reports to follow,
+/// and the rank that holds the expert would be the straggler meanwhile.
 bool hasJumped(LoadEstimate &estimate, std::size_t expert, double share, double level)
 {
     const double deviation = std::max(std::sqrt(estimate.noise), minNoise) * level;
-    const double floor = minNoise / static_cast<double>(estimate.reportsOf.size());
+    const double floor = minNoise / static_cast<double>(estimate.reportsPerExpert.size());
     const double deviations = (share - level) / (deviation + floor);
     int sign = 0;
-    if (std::abs(deviations) > surprisingDeviations)
+    if (std::abs(deviations) > outlierDeviations)
         sign = deviations > 0 ? 1 : -1;
-    const bool again = sign != 0 && sign == estimate.surprise[expert];
-    estimate.surprise[expert] = sign;
+    const bool again = sign != 0 && sign == estimate.lastOutlierSigns[expert];
+    estimate.lastOutlierSigns[expert] = sign;
     return again || std::abs(deviations) > jumpDeviations;
 }
 
-/// Lets the estimates of experts that jumped begin anew.
-void findJumps(LoadEstimate &estimate, const std::vector<double> &shares)
+/// Restarts the estimates of experts whose load jumped.
+void resetJumpedExperts(LoadEstimate &estimate, const std::vector<double> &shares)
 {
     if (estimate.reports <= reportsBeforeJumps)
         return;
     const std::vector<double> &levels = estimate.levels[bestRow(estimate)];
     for (std::size_t expert = 0; expert < shares.size(); ++expert) {
         if (hasJumped(estimate, expert, shares[expert], levels[expert]))
-            estimate.reportsOf[expert] = 0;
+            estimate.reportsPerExpert[expert] = 0;
     }
 }
 
-/// Jumps are left out of the errors and of the noise: one of them would hide drift for many
-/// reports.
+/// Updates the errors of all rows. Jumps are excluded from the errors and the noise: a single one
+/// would hide drift for many reports.
 void updateErrors(LoadEstimate &estimate, const std::vector<double> &shares)
 {
     const double weight = std::max(errorGain, 1.0 / estimate.reports);
     for (std::size_t row = 0; row < smoothingGains.size(); ++row) {
         double squared = 0;
         for (std::size_t expert = 0; expert < shares.size(); ++expert) {
-            if (estimate.reportsOf[expert] == 0)
+            if (estimate.reportsPerExpert[expert] == 0)
                 continue;
-            squared += weighedSquare(shares[expert], estimate.levels[row][expert], shares.size());
+            squared += weightedSquare(shares[expert], estimate.levels[row][expert], shares.size());
         }
         estimate.errors[row] += weight * (squared - estimate.errors[row]);
     }
 }
 
-/// Noise is measured against the best row; that row's own uncertainty is taken out.
+/// Updates the noise from the difference to the best row, corrected for that row's uncertainty.
 void updateNoise(LoadEstimate &estimate, const std::vector<double> &shares)
 {
     const std::size_t row = bestRow(estimate);
     double squares = 0;
     double variances = 0;
     for (std::size_t expert = 0; expert < shares.size(); ++expert) {
-        const std::uint32_t reports = estimate.reportsOf[expert];
+        const std::uint32_t reports = estimate.reportsPerExpert[expert];
         if (reports == 0)
             continue;
         const double level = estimate.levels[row][expert];
-        squares += weighedSquare(shares[expert], level, shares.size());
+        squares += weightedSquare(shares[expert], level, shares.size());
         variances += level * (1.0 + uncertaintyOf(smoothingGains[row], reports));
     }
     if (variances <= 0)
@@ -169,11 +169,12 @@
 {
     for (std::size_t expert = 0; expert < shares.size(); ++expert) {
         for (std::size_t row = 0; row < smoothingGains.size(); ++row) {
-            const double gain = gainFor(smoothingGains[row], estimate.reportsOf[expert], intervals);
+            const double gain =
+                gainFor(smoothingGains[row], estimate.reportsPerExpert[expert], intervals);
             double &smoothed = estimate.levels[row][expert];
             smoothed += gain * (shares[expert] - smoothed);
         }
-        ++estimate.reportsOf[expert];
+        ++estimate.reportsPerExpert[expert];
     }
 }
 
@@ -196,10 +197,10 @@
     if (empty || stale)
         return boost::outcome_v2::success();
     if (estimate.reports == 0) {
-        begin(estimate, shares);
+        initializeEstimate(estimate, shares);
     } else {
         const double intervals = elapsedIntervals(estimate, report.at);
-        findJumps(estimate, shares);
+        resetJumpedExperts(estimate, shares);
         updateErrors(estimate, shares);
         updateNoise(estimate, shares);
         updateLevels(estimate, shares, intervals);
@@ -220,10 +221,11 @@
     forecast.shares = estimate.levels[row];
     forecast.noise = std::sqrt(estimate.noise);
     forecast.uncertainty = uncertaintyOf(gain, estimate.reports);
-    const auto fewest = std::min_element(estimate.reportsOf.begin(), estimate.reportsOf.end());
+    const auto fewest =
+        std::min_element(estimate.reportsPerExpert.begin(), estimate.reportsPerExpert.end());
     forecast.settled = *fewest >= reportsToSettle;
-    // A random walk that is followed best with gain g moves by g standard deviations of the noise a
-    // report, so it has moved by one of them after 1/g^2 reports.
+    // A random walk that gain g tracks best moves by g standard deviations of the noise per report,
+    // so it takes 1/g^2 reports to move by one standard deviation.
     const double reports = std::min(maxHorizonReports, 1.0 / (gain * gain));
     const double horizon = reports * static_cast<double>(estimate.interval.count());
     forecast.horizon = milliseconds(static_cast<milliseconds::rep>(horizon));
--- a/Source/Version/PlacementEstimate.h
+++ b/Source/Version/PlacementEstimate.h
@@ -10,39 +10,39 @@
 
 namespace wisteria {
 
-/// Smoothing gains that the estimator weighs against each other.
+/// Gains of exponential smoothing that the estimator compares.
 inline constexpr std::array<double, 6> smoothingGains = {0.02, 0.05, 0.1, 0.2, 0.4, 0.8};
 
-/// Tokens of each expert of one layer, counted since the layer's report before.
+/// Tokens of each expert of one layer, counted since the layer's previous report.
 struct LoadReport
 {
-    /// When the loads were measured, not when the report arrived.
+    /// Time at which the loads were measured, not at which the report arrived.
     TimePoint at;
     std::uint32_t layer = 0;
     std::vector<double> loads;
 };
 
-/// What is known of one layer's loads. Loads are kept as shares of the layer's tokens, so that the
-/// hour's total volume does not look like drift.
+/// Estimate of one layer's loads. Loads are stored as shares of the layer's tokens, so that a
+/// change of the total volume does not look like drift.
 struct LoadEstimate
 {
-    /// Exponentially smoothed shares, one row a gain.
+    /// Exponentially smoothed shares, one row per gain.
     std::array<std::vector<double>, smoothingGains.size()> levels;
-    /// Smoothed squared error of each row's forecasts of the next report.
+    /// Smoothed squared error of each row's forecast of the next report.
     std::array<double, smoothingGains.size()> errors{};
-    /// Reports that each expert's estimate rests on; falls back to 1 when its load jumps.
-    std::vector<std::uint32_t> reportsOf;
-    /// Sign of the last surprising difference of each expert; 0 when there was none.
-    std::vector<int> surprise;
+    /// Number of reports in each expert's estimate; restarts at 1 when its load jumps.
+    std::vector<std::uint32_t> reportsPerExpert;
+    /// Sign of each expert's difference in the last report if it was an outlier, otherwise 0.
+    std::vector<int> lastOutlierSigns;
     /// Squared noise of a report, relative to the load.
     double noise = 0;
     std::uint32_t reports = 0;
     TimePoint at;
-    /// Usual time between two reports.
+    /// Smoothed time between two reports.
     milliseconds interval{0};
 };
 
-/// The estimate that decisions use.
+/// Expected loads of one layer, for decisions.
 struct LoadForecast
 {
     /// Expected share of each expert.
@@ -51,19 +51,19 @@
     double noise = 0;
     /// Variance of the estimate in units of the variance of one report.
     double uncertainty = 1;
-    /// Whether every expert's estimate rests on several reports; false after a jump.
+    /// Whether every expert's estimate includes several reports; false after a jump.
     bool settled = false;
-    /// Time that the loads' drift leaves before it has moved them as far as one report's noise.
+    /// Expected time until the loads have drifted by one standard deviation of a report's noise.
     milliseconds horizon{0};
 };
 
-/// Takes a report into the estimate. Reports may skip times; one that is no newer than the last is
-/// ignored, and one without any load says nothing.
+/// Adds a report to the estimate. Reports may be missing in between. A report that is not newer
+/// than the last one, or that has no load, is ignored.
 /// @return BadInput for a report with the wrong number of loads, or with one that is negative or
-/// not a number.
+/// not finite.
 Result<void> observeLoads(LoadEstimate &estimate, const LoadReport &report, std::uint32_t experts);
 
-/// The forecast of the gain that foretold the recent reports best.
+/// Returns the forecast of the smoothing gain that predicted the recent reports best.
 LoadForecast forecastLoads(const LoadEstimate &estimate);
 
 } // namespace wisteria
--- a/Source/Version/PlacementGreedy.cpp
+++ b/Source/Version/PlacementGreedy.cpp
@@ -16,29 +16,29 @@
         spare += rank.slots;
     spare -= group.experts;
     std::vector<std::uint32_t> counts(group.experts, 1);
-    const auto isCooler = [&](ExpertId a, ExpertId b) {
+    const auto hasLessLoad = [&](ExpertId a, ExpertId b) {
         const double loadA = loads[a] / counts[a];
         const double loadB = loads[b] / counts[b];
         return loadA < loadB || (loadA == loadB && a > b);
     };
     std::vector<ExpertId> heap(group.experts);
     std::iota(heap.begin(), heap.end(), 0);
-    std::make_heap(heap.begin(), heap.end(), isCooler);
+    std::make_heap(heap.begin(), heap.end(), hasLessLoad);
     while (spare > 0 && !heap.empty()) {
-        std::pop_heap(heap.begin(), heap.end(), isCooler);
-        const ExpertId hottest = heap.back();
-        if (counts[hottest] >= group.ranks.size()) {
+        std::pop_heap(heap.begin(), heap.end(), hasLessLoad);
+        const ExpertId mostLoaded = heap.back();
+        if (counts[mostLoaded] >= group.ranks.size()) {
             heap.pop_back();
             continue;
         }
-        ++counts[hottest];
+        ++counts[mostLoaded];
         --spare;
-        std::push_heap(heap.begin(), heap.end(), isCooler);
+        std::push_heap(heap.begin(), heap.end(), hasLessLoad);
     }
     return counts;
 }
 
-/// Replicas, largest first, on their way to a map.
+/// Assigns replicas to ranks, one at a time, and tracks the time of each rank.
 class Packing
 {
 public:
@@ -54,20 +54,21 @@
         std::vector<ExpertId> replicas;
         for (ExpertId expert = 0; expert < group_.experts; ++expert)
             replicas.insert(replicas.end(), counts_[expert], expert);
-        std::stable_sort(replicas.begin(), replicas.end(),
-                         [this](ExpertId a, ExpertId b) { return share(a) > share(b); });
+        std::stable_sort(replicas.begin(), replicas.end(), [this](ExpertId a, ExpertId b) {
+            return loadPerReplica(a) > loadPerReplica(b);
+        });
         return replicas;
     }
 
-    /// The least busy of the ranks that have a free slot and no replica of the expert yet; with
-    /// `holders`, of those that also hold it in that map.
-    std::optional<std::size_t> leastBusyRank(ExpertId expert, const LayerMap *holders) const
+    /// Returns the least busy rank that has a free slot and no replica of the expert. With
+    /// `preferredMap`, only ranks that hold the expert in that map are considered.
+    std::optional<std::size_t> leastBusyRank(ExpertId expert, const LayerMap *preferredMap) const
     {
         std::optional<std::size_t> best;
         for (std::size_t rank = 0; rank < map_.ranks.size(); ++rank) {
             if (map_.ranks[rank].size() >= group_.ranks[rank].slots || holds(map_, rank, expert))
                 continue;
-            if (holders && !holds(*holders, rank, expert))
+            if (preferredMap && !holds(*preferredMap, rank, expert))
                 continue;
             if (!best || timeWith(rank, expert) < timeWith(*best, expert))
                 best = rank;
@@ -77,7 +78,7 @@
 
     double timeWith(std::size_t rank, ExpertId expert) const
     {
-        return times_[rank] + share(expert) / group_.ranks[rank].speed;
+        return times_[rank] + loadPerReplica(expert) / group_.ranks[rank].speed;
     }
 
     void put(std::size_t rank, ExpertId expert)
@@ -95,7 +96,7 @@
         return std::find(held.begin(), held.end(), expert) != held.end();
     }
 
-    double share(ExpertId expert) const { return loads_[expert] / counts_[expert]; }
+    double loadPerReplica(ExpertId expert) const { return loads_[expert] / counts_[expert]; }
 
     const RankGroup &group_;
     const std::vector<double> &loads_;
@@ -118,7 +119,7 @@
 {
     Packing packing(group, loads);
     for (const ExpertId expert : packing.replicasBySize()) {
-        // Only a further replica can find no rank; the slot then stays empty.
+        // Only a second or later replica can find no rank; a slot stays empty then.
         if (const auto rank = packing.leastBusyRank(expert, nullptr))
             packing.put(*rank, expert);
     }
--- a/Source/Version/PlacementGreedy.h
+++ b/Source/Version/PlacementGreedy.h
@@ -6,13 +6,13 @@
 
 namespace wisteria {
 
-/// A map from scratch: spare slots go to replicas of the experts with the most load a replica, then
-/// the replicas are put, largest first, each on the rank that is least busy. Pays no heed to the
-/// present map. Deterministic: ties go to the lower number.
+/// Computes a map without regard to the current one: spare slots go to further replicas of the
+/// experts with the most load per replica; then each replica, by descending load, is placed on the
+/// least busy rank. Deterministic: ties go to the lower number.
 LayerMap greedyLayerMap(const RankGroup &group, const std::vector<double> &loads);
 
-/// As greedyLayerMap(), but a replica goes to a rank that holds its expert already, as long as that
-/// rank's time stays within `ceiling`, relative to a balanced group's time.
+/// Same as greedyLayerMap(), but a replica is placed on a rank that holds its expert in `current`,
+/// as long as that rank's time stays within `ceiling` times the time of a balanced group.
 LayerMap stickyLayerMap(const RankGroup &group, const std::vector<double> &loads,
                         const LayerMap &current, double ceiling);
 
--- a/Source/Version/PlacementSearch.cpp
+++ b/Source/Version/PlacementSearch.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// First steps that the search tries to follow up when no single step pays. More take longer for
-/// the same skew.
+/// Number of first steps that are tried with a second step when no single step is worthwhile. More
+/// take longer and lead to the same skew.
 constexpr std::size_t lookAheadWidth = 2;
 
-/// Steps that are worth taking together.
+/// Steps that are applied together.
 struct StepPlan
 {
     std::vector<SearchStep> steps;
@@ -21,7 +21,7 @@
     double gain = 0;
 };
 
-bool pays(const StepPlan &plan, const SearchLimits &limits)
+bool isWorthwhile(const StepPlan &plan, const SearchLimits &limits)
 {
     return plan.moves > 0 && plan.gain > 0 && plan.gain / plan.moves >= limits.minGainPerMove;
 }
@@ -31,9 +31,9 @@
     return {{step}, step.moves, search.gainOf(step.change)};
 }
 
-/// Follows up the least bad first steps by the best second step each. A hot expert can be stuck on
-/// a rank although another has room for it in sum: every single step would only make the other rank
-/// the straggler, and only a second one relieves that rank in turn.
+/// Combines each of the best first steps with its best second step. A hot expert may fit on another
+/// rank only after that rank hands off other load: the first step alone makes that rank the
+/// straggler, and only a second step relieves it.
 StepPlan planTwoSteps(const LayerSearch &search, const std::vector<SearchStep> &firstSteps,
                       const SearchLimits &limits)
 {
@@ -49,7 +49,7 @@
         StepPlan plan{{firstSteps[i], second}, firstSteps[i].moves + second.moves, 0};
         plan.gain = search.skew() - (ahead.skew() - ahead.gainOf(second.change));
         const bool better = best.moves == 0 || plan.gain / plan.moves > best.gain / best.moves;
-        if (pays(plan, limits) && better)
+        if (isWorthwhile(plan, limits) && better)
             best = plan;
     }
     return best;
@@ -62,7 +62,7 @@
         return {};
     if (steps.front().change < 0) {
         StepPlan plan = planOf(search, steps.front());
-        if (pays(plan, limits))
+        if (isWorthwhile(plan, limits))
             return plan;
     }
     return planTwoSteps(search, steps, limits);
@@ -87,10 +87,10 @@
     result.foundSkew = search.skew();
     result.currentSkew =
         start == current ? result.foundSkew : expectedSkew(group, current, problem);
-    // Every plan lowers the skew, so the search ends; the bound keeps its time in hand as well.
+    // Every plan lowers the skew, so the search ends; the bounds limit its time.
     for (std::uint32_t round = 0; round < limits.maxMoves && budget.terms > 0; ++round) {
         const StepPlan plan = nextSteps(search, limits);
-        if (!pays(plan, limits))
+        if (!isWorthwhile(plan, limits))
             break;
         for (const SearchStep &step : plan.steps)
             search.apply(step);
--- a/Source/Version/PlacementStaging.cpp
+++ b/Source/Version/PlacementStaging.cpp
@@ -19,7 +19,7 @@
         return failure(ErrorKind::BadInput,
                        "the map has " + std::to_string(map.layers.size())
                            + " layers, but the group has " + std::to_string(group.layers)
-                           + "; make a map for this group");
+                           + "; use a map for this group");
     }
     for (const LayerMap &layer : map.layers) {
         BOOST_OUTCOME_TRYV(checkLayerMap(group, layer));
@@ -39,8 +39,9 @@
     return replicas;
 }
 
-/// Without the room, the rank would run out of memory in the middle of the staging, while the old
-/// replicas still serve; refusing beforehand leaves the group as it is.
+/// Checks that a rank can hold its current replicas and the staged ones together. Otherwise it
+/// would run out of memory during the staging, while the old replicas are in use; a refusal in
+/// advance leaves the group unchanged.
 Result<void> checkCapacity(const RankGroup &group, const ExpertMap &current, std::size_t rank,
                            std::size_t staged)
 {
@@ -54,12 +55,12 @@
                    "rank " + std::to_string(rank) + " needs "
                        + std::to_string(held * group.expertBytes) + " bytes while staging but has "
                        + std::to_string(memory)
-                       + "; switch in smaller parts or declare fewer slots");
+                       + "; switch fewer experts at a time or declare fewer slots");
 }
 
-/// Time to load so many bytes, rounded up over all of them: rounding each transfer would let the
-/// plan fall behind the store's rate.
-milliseconds loadingTime(const RankGroup &group, std::uint64_t bytes)
+/// Returns the time to transfer `bytes`, rounded up. It is computed from the total of all
+/// transfers: rounding each transfer would make the plan slower than the store's rate.
+milliseconds transferTime(const RankGroup &group, std::uint64_t bytes)
 {
     const double needed = static_cast<double>(bytes) / group.storeBytesPerSecond;
     return std::chrono::ceil<milliseconds>(std::chrono::duration<double>(needed));
@@ -74,15 +75,15 @@
     BOOST_OUTCOME_TRYV(checkMap(group, current));
     BOOST_OUTCOME_TRYV(checkMap(group, next));
     std::vector<std::vector<Replica>> perRank;
-    std::size_t most = 0;
+    std::size_t maxTransfers = 0;
     for (std::size_t rank = 0; rank < group.ranks.size(); ++rank) {
         perRank.push_back(replicasToCopy(current, next, rank));
         BOOST_OUTCOME_TRYV(checkCapacity(group, current, rank, perRank.back().size()));
-        most = std::max(most, perRank.back().size());
+        maxTransfers = std::max(maxTransfers, perRank.back().size());
     }
     StagingPlan plan;
     std::uint64_t bytes = 0;
-    for (std::size_t round = 0; round < most; ++round) {
+    for (std::size_t round = 0; round < maxTransfers; ++round) {
         for (std::size_t rank = 0; rank < perRank.size(); ++rank) {
             if (round >= perRank[rank].size())
                 continue;
@@ -92,13 +93,13 @@
             transfer.expert = perRank[rank][round].expert;
             transfer.bytes = group.expertBytes;
             transfer.bytesPerSecond = group.storeBytesPerSecond;
-            transfer.beginAfter = loadingTime(group, bytes);
+            transfer.beginAfter = transferTime(group, bytes);
             bytes += group.expertBytes;
-            transfer.endAfter = loadingTime(group, bytes);
+            transfer.endAfter = transferTime(group, bytes);
             plan.transfers.push_back(transfer);
         }
     }
-    plan.duration = loadingTime(group, bytes);
+    plan.duration = transferTime(group, bytes);
     return plan;
 }
 
--- a/Source/Version/PlacementStaging.h
+++ b/Source/Version/PlacementStaging.h
@@ -9,37 +9,37 @@
 
 namespace wisteria {
 
-/// One replica's weights on their way from the weight store to a rank.
+/// Transfer of one replica's weights from the weight store to a rank.
 struct StagedTransfer
 {
     std::uint32_t rank = 0;
     std::uint32_t layer = 0;
     ExpertId expert = 0;
     std::uint64_t bytes = 0;
-    /// Rate that this transfer may take, in bytes a second.
+    /// Maximum rate of this transfer.
     double bytesPerSecond = 0;
-    /// When it may begin and is expected to end, counted from the beginning of the staging. Spans
-    /// and not moments, as the clocks of VMs are not compared.
+    /// Earliest begin and expected end, relative to the begin of the staging. They are durations
+    /// and not times, because the clocks of VMs are not synchronized.
     milliseconds beginAfter{0};
     milliseconds endAfter{0};
 
     bool operator==(const StagedTransfer &) const = default;
 };
 
-/// All transfers that a switch of maps needs, in the order of their beginning. Staging has no
-/// effect on steps: the present map stays in force until the group agrees on the switch.
+/// All transfers of a switch of maps, in the order in which they begin. Staging does not affect
+/// steps: the current map stays in force until the group agrees on the switch.
 struct StagingPlan
 {
     std::vector<StagedTransfer> transfers;
-    /// Expected time until the last one has ended.
+    /// Expected time until the last transfer ends.
     milliseconds duration{0};
 };
 
-/// Plans the transfers from one map to another. One transfer runs at a time at the store's whole
-/// rate, and consecutive ones go to different ranks where possible, so that no rank's link has to
-/// take the whole rate for long.
-/// @return BadInput when a map does not fit the group, or when a rank lacks the memory to hold the
-/// new replicas beside all that it holds now.
+/// Plans the transfers from one map to another. One transfer runs at a time at the full rate of the
+/// store, and consecutive ones go to different ranks where possible, so that no rank's link carries
+/// the full rate for long.
+/// @return BadSettings for an invalid group. BadInput when a map does not fit the group, or when a
+/// rank lacks the memory to hold the new replicas beside its current ones.
 Result<StagingPlan> planStaging(const RankGroup &group, const ExpertMap &current,
                                 const ExpertMap &next);
 
--- a/Source/Version/ServiceConfiguration.h
+++ b/Source/Version/ServiceConfiguration.h
@@ -14,11 +14,11 @@
 /// How often a request of a route may run.
 enum class RequestKind {
     Idempotent, ///< Any number of times.
-    NonIdempotent, ///< At most once for each caller's attempt.
-    Streaming, ///< At most once, or again from a later event where the route is resumable.
+    NonIdempotent, ///< At most once per attempt of the caller.
+    Streaming, ///< At most once; on a resumable route it may resume after the last event received.
 };
 
-/// A service that a route sends to, and its share of the route's requests.
+/// A service that a route sends to, and its weight among the route's services.
 struct ServiceShare
 {
     std::string service;
@@ -33,52 +33,52 @@
     /// Begins and ends with a slash.
     std::string pathPrefix;
     RequestKind kind = RequestKind::NonIdempotent;
-    /// Longest time that the operator wants a request kept waiting; of a route that does not say
-    /// so, as long as common proxies wait.
+    /// Maximum time that the operator lets a request wait. The default is that of common proxies.
     milliseconds timeout{30'000};
-    /// Time within which an answer has its full value; for streams, up to the first event.
+    /// Target for the time to the complete answer, or to the first event of a stream. A later
+    /// answer has less value.
     milliseconds targetLatency{0};
-    /// Longest pause between two events of a stream that is still in time.
+    /// Target for the maximum time between two events of a stream.
     std::optional<milliseconds> targetGap;
-    /// Backend servers that one attempt of a caller may be sent to.
+    /// Maximum number of backend servers that one attempt of a caller is sent to.
     std::uint32_t maxAttempts = 1;
     /// 0 is the most urgent.
     std::uint32_t priority = 0;
-    /// No API key is needed.
+    /// Requests need no API key.
     bool isPublic = false;
-    /// A stream may go on at another backend server after the last event received.
+    /// A stream may resume at another backend server after the last event received.
     bool resumable = false;
     std::vector<ServiceShare> shares;
 
-    /// Whether a request that may have run may be sent once more.
+    /// Returns whether a request that may have run may be sent again.
     bool repeatable() const
     {
         return kind == RequestKind::Idempotent || (kind == RequestKind::Streaming && resumable);
     }
 };
 
-/// The model engine behind a service's backend servers, as far as decisions use it.
+/// Properties of the model engine of a service's backend servers that decisions use.
 struct EngineProfile
 {
-    /// Requests that one backend server processes at once.
+    /// Requests that one backend server processes concurrently.
     std::uint32_t slots = 0;
-    /// Token steps of one pass while answers are written.
+    /// Token steps of one forward pass while answers are generated.
     std::uint32_t stepsPerPass = 1;
-    /// Duration of one step, and what each writing request adds to it.
+    /// Duration of one step, and the time that each generating request adds to it.
     std::chrono::duration<double, std::milli> step{0};
     std::chrono::duration<double, std::milli> stepPerRequest{0};
-    /// Prompt tokens read a second.
+    /// Prompt tokens read per second.
     double promptTokensPerSecond = 0;
     std::uint64_t memoryTokens = 0;
-    /// Experts: sets of layers with a map each, experts a set, and how many a rank holds.
+    /// Sets of layers with one map each, experts per set, and experts of a set that a rank holds.
     std::uint32_t expertSets = 0;
     std::uint32_t expertsPerSet = 0;
     std::uint32_t expertsPerRank = 0;
-    /// Experts of a set that one rank may load for one new map.
+    /// Experts of a set that one rank may copy for one new map.
     std::uint32_t copiesPerMap = 0;
     double expertMegabytes = 0;
     double linkMegabitsPerSecond = 0;
-    /// Share of the work for tokens that the experts do, 0 to 1.
+    /// Fraction of the work per token that the experts do, 0 to 1.
     double expertShare = 0;
 };
 
@@ -86,12 +86,12 @@
 {
     std::string name;
     std::string healthPath;
-    /// Connections that one backend server takes from all callers together; 0 when not told.
+    /// Maximum connections that one backend server accepts from all callers; 0 when not configured.
     std::uint32_t maxConnections = 0;
     std::optional<EngineProfile> engine;
 };
 
-/// Whether the service's backend servers are ranks of groups.
+/// Returns whether the service's backend servers are ranks of groups.
 inline bool isGroup(const ServiceRule &service)
 {
     return service.engine && service.engine->expertSets > 0;
@@ -100,11 +100,11 @@
 struct Organisation
 {
     std::string name;
-    /// Goes before the route's priority.
+    /// Overrides the route's priority.
     std::optional<std::uint32_t> priority;
 };
 
-/// What a caller may send, and how long it may take or stay idle.
+/// Limits on the size of a caller's request and on the time that the caller may take.
 struct CallerLimits
 {
     std::size_t headerBytes = 16384;
@@ -120,9 +120,9 @@
     std::vector<RouteRule> routes;
     std::map<std::string, ServiceRule> services;
     CallerLimits limits;
-    /// Organisation of each API key.
+    /// Organisation by API key.
     std::unordered_map<std::string, Organisation> organisationOfKey;
-    /// Whether requests on routes that are not public need a key.
+    /// Whether requests on routes that are not public need an API key.
     bool needsKeys = false;
 };
 
--- a/Source/Version/SkewLowerBound.cpp
+++ b/Source/Version/SkewLowerBound.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Halvings of the search interval; enough for the twelfth decimal.
+/// Halvings of the search interval; the result is exact to about twelve decimals.
 constexpr int bisections = 40;
 
 double fastestSpeed(const RankGroup &group)
@@ -48,7 +48,7 @@
     const double balanced = total / speed;
     if (fitsSlots(group, loads, balanced))
         return 1.0;
-    // The upper end always fits: one replica an expert.
+    // The upper end always fits: one replica per expert is enough there.
     double low = balanced;
     double high = std::max(balanced, total / fastestSpeed(group));
     for (int i = 0; i < bisections; ++i) {
--- a/Tests/Version/CountsAggregationTest.cpp
+++ b/Tests/Version/CountsAggregationTest.cpp
@@ -19,12 +19,12 @@
                             .copiesPerMap = 2,
                             .copyMilliseconds = 14};
 
-CountsReply toldBy(std::uint64_t epoch, std::vector<std::uint64_t> counts)
+CountsReply replyFrom(std::uint64_t epoch, std::vector<std::uint64_t> counts)
 {
     return {.group = "g", .epoch = epoch, .ranks = 1, .passes = 1, .counts = std::move(counts)};
 }
 
-/// Prompts whose content decides which experts they choose: some topics, each with favourites.
+/// Generates the counts of prompts from nine topics, each of which prefers different experts.
 class Prompts
 {
 public:
@@ -33,23 +33,23 @@
         for (auto &topic : topics_) {
             topic.resize(profile.sets * profile.expertsPerSet);
             std::uniform_real_distribution<double> draw(0.001, 1);
-            for (double &like : topic)
-                like = std::pow(draw(random_), -0.7);
+            for (double &popularity : topic)
+                popularity = std::pow(draw(random_), -0.7);
         }
     }
 
-    /// Counts of one rank in a tenth of a second: the rest of a prompt of one topic at a time.
+    /// Returns the counts of one rank in 100 ms: part of a single prompt, so of one topic.
     std::vector<std::uint64_t> countsOfRank()
     {
         const std::vector<double> &topic = topics_.at(random_() % topics_.size());
         constexpr double scale = 20;
         std::vector<std::uint64_t> counts;
-        for (const double like : topic)
-            counts.push_back(static_cast<std::uint64_t>(like * scale));
+        for (const double popularity : topic)
+            counts.push_back(static_cast<std::uint64_t>(popularity * scale));
         return counts;
     }
 
-    /// What all topics together choose in the long run.
+    /// Returns the long-term demand of all topics together.
     ExpertDemand demand() const
     {
         ExpertDemand demand;
@@ -66,15 +66,15 @@
     std::array<std::vector<double>, 9> topics_;
 };
 
-/// Skew, under the demand of the long run, of the map that follows the first counts of so many
-/// ranks after a shift.
+/// Returns the skew, under the long-term demand, of the map that is computed from the first counts
+/// of `ranks` ranks after a shift.
 double skewFromCountsOf(std::size_t ranks, std::uint64_t seed)
 {
     Prompts prompts(seed);
     const std::vector<double> slowdowns(rankCount, 1.0);
     CountsAggregation aggregation{.requester = {}, .since = {}, .awaited = ranks, .sum = {}};
     for (std::size_t rank = 0; rank < ranks; ++rank)
-        addCounts(aggregation, toldBy(1, prompts.countsOfRank()));
+        addCounts(aggregation, replyFrom(1, prompts.countsOfRank()));
     ExpertDemand demand;
     addCounts(demand, profile, aggregation.sum.counts);
     RankMap map = firstRankMap(profile, rankCount);
@@ -88,11 +88,11 @@
 
 } // namespace
 
-TEST_CASE("Counts of all ranks lead to better maps than those of a few")
+TEST_CASE("Counts of all ranks lead to better maps than counts of a few ranks")
 {
-    // Treasurers see drafts pause although the map has changed. Each rank reads one prompt at a
-    // time, and each prompt has favourites of its own; the leader heard eight of 63 ranks and
-    // followed those few prompts, with a map that was wrong for all the others.
+    // Streams pause although the map has changed. Each rank reads one prompt at a time, and each
+    // prompt prefers different experts. A leader that receives the counts of only 8 of 63 ranks
+    // fits the map to their few prompts, and it does not suit the other ranks.
     constexpr std::uint64_t seeds = 5;
     double few = 0;
     double all = 0;
@@ -105,39 +105,39 @@
     REQUIRE(all < 1.5);
 }
 
-TEST_CASE("A sum of counts is told when all have answered, or after a while")
+TEST_CASE("A sum of counts is due when all sidecars have replied or the timeout has passed")
 {
     const TimePoint start{};
     CountsAggregation aggregation{
         .requester = {1, 1}, .since = start, .timeout = ownAnswerTime, .awaited = 2, .sum = {}};
     REQUIRE_FALSE(isDue(aggregation, start));
-    addCounts(aggregation, toldBy(1, {1, 2}));
+    addCounts(aggregation, replyFrom(1, {1, 2}));
     REQUIRE_FALSE(isDue(aggregation, start));
     REQUIRE(isDue(aggregation, start + ownAnswerTime));
-    addCounts(aggregation, toldBy(1, {10, 20}));
+    addCounts(aggregation, replyFrom(1, {10, 20}));
     REQUIRE(isDue(aggregation, start));
     REQUIRE(aggregation.sum.ranks == 2);
     REQUIRE(aggregation.sum.counts == std::vector<std::uint64_t>{11, 22});
 }
 
-TEST_CASE("A rank that knows no counts, or those of an earlier group, doesn't spoil a sum")
+TEST_CASE("Empty counts and counts of an earlier epoch do not change the summed counts")
 {
     CountsAggregation aggregation{.requester = {1, 1}, .since = {}, .awaited = 4, .sum = {}};
-    addCounts(aggregation, toldBy(1, {7, 7}));
-    // The group has formed anew.
-    addCounts(aggregation, toldBy(2, {1, 2}));
-    addCounts(aggregation, toldBy(1, {9, 9}));
-    addCounts(aggregation, toldBy(2, {}));
+    addCounts(aggregation, replyFrom(1, {7, 7}));
+    // The group was re-formed.
+    addCounts(aggregation, replyFrom(2, {1, 2}));
+    addCounts(aggregation, replyFrom(1, {9, 9}));
+    addCounts(aggregation, replyFrom(2, {}));
     REQUIRE(aggregation.sum.epoch == 2);
     REQUIRE(aggregation.sum.ranks == 2);
     REQUIRE(aggregation.sum.counts == std::vector<std::uint64_t>{1, 2});
     REQUIRE(isDue(aggregation, {}));
 }
 
-// A sidecar crashes and its rank goes without orders for a second. It had asked itself for counts
-// while it led, another one led by the time they were due, and the sum went back into the list of
-// sums that was being gone through.
-TEST_CASE("Sums that are due are out of the list before they are told")
+// A sidecar crashes, and its rank gets no orders for a second. The sidecar had requested counts
+// from itself while it was the leader. When they were due, another sidecar was the leader, so the
+// sum was added again to the list that was being iterated over.
+TEST_CASE("Due sums are removed from the list before they are sent")
 {
     const TimePoint start{};
     std::vector<CountsAggregation> aggregations;
@@ -145,22 +145,22 @@
                             .since = start,
                             .timeout = ownAnswerTime,
                             .awaited = 0,
-                            .sum = toldBy(1, {5})});
+                            .sum = replyFrom(1, {5})});
     aggregations.push_back(
         {.requester = {2, 1}, .since = start, .timeout = ownAnswerTime, .awaited = 3, .sum = {}});
     aggregations.push_back({.requester = {3, 1},
                             .since = start,
                             .timeout = ownAnswerTime,
                             .awaited = 0,
-                            .sum = toldBy(1, {6})});
-    for (const CountsAggregation &due : takeDue(aggregations, start)) {
+                            .sum = replyFrom(1, {6})});
+    for (const CountsAggregation &due : extractDue(aggregations, start)) {
         REQUIRE(aggregations.size() == 1);
-        // Told to the process itself, it comes back to the list.
+        // A sum that is sent to the process itself is added to the list again.
         addCounts(aggregations.front(), due.sum);
     }
     REQUIRE(aggregations.front().requester == Endpoint{2, 1});
     REQUIRE(aggregations.front().sum.counts == std::vector<std::uint64_t>{11});
-    REQUIRE(takeDue(aggregations, start).empty());
-    REQUIRE(takeDue(aggregations, start + ownAnswerTime).size() == 1);
+    REQUIRE(extractDue(aggregations, start).empty());
+    REQUIRE(extractDue(aggregations, start + ownAnswerTime).size() == 1);
     REQUIRE(aggregations.empty());
 }
--- a/Tests/Version/PlacementTest.cpp
+++ b/Tests/Version/PlacementTest.cpp
@@ -38,7 +38,8 @@
     return startPlacement(group, map).value();
 }
 
-/// Loads with a heavy tail, drawn with the engine alone: its numbers are the same everywhere.
+/// Returns random loads with a heavy tail. Uses the engine without a distribution, because the
+/// numbers of distributions depend on the standard library.
 std::vector<double> drawLoads(std::uint32_t experts, std::mt19937_64 &engine)
 {
     std::vector<double> loads;
@@ -67,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("Every policy's maps keep to the slots and give each expert a replica")
+TEST_CASE("The maps of every policy respect the slots and place each expert at least once")
 {
     std::mt19937_64 engine(11);
     for (int round = 0; round < 40; ++round) {
@@ -114,9 +115,8 @@
     }
 }
 
-// Clerks would see answers slow down again and again without cause: load reports only jitter, but
-// each jitter looks like a better map, and the weight store is kept busy by moves that gain
-// nothing.
+// Answers slow down repeatedly without cause: load reports only jitter, but after each jitter
+// another map seems better, and moves that gain nothing keep the weight store busy.
 TEST_CASE("Noise without drift causes no move after the first switch")
 {
     for (const std::uint64_t seed : {1, 2, 3, 4}) {
@@ -138,9 +138,9 @@
     }
 }
 
-// Counter waits double for hours: one expert becomes hot, and smoothing against noise follows so
+// Waiting times double for hours: one expert becomes hot, and the smoothed estimate follows so
 // slowly that its rank stays the straggler.
-TEST_CASE("A sudden hot expert is relieved within three reports")
+TEST_CASE("Load of a suddenly hot expert is balanced within three reports")
 {
     const RankGroup group = makeGroup(16, 5, 64);
     PlacementState state = startedState(group);
@@ -158,8 +158,8 @@
     CHECK(layerSkew(group, state.layers[0].map, expected) < 1.15);
 }
 
-// A rank runs hot and slows down; every step of the group waits for it until it gets less to do.
-TEST_CASE("A slow rank is given less load")
+// A rank overheats and slows down. Every step of the group waits for it until it gets less load.
+TEST_CASE("A slow rank gets less load")
 {
     RankGroup group = makeGroup(8, 5, 32);
     PlacementState state = startedState(group);
@@ -175,14 +175,14 @@
     CHECK(layerSkew(group, state.layers[0].map, loads) < 1.1);
 }
 
-// A rank runs out of memory in the middle of a switch, because the new weights are staged beside
-// the old ones and nobody counted the room for both.
+// A rank runs out of memory in the middle of a switch, because the decision ignored that the new
+// weights are staged beside the old ones.
 TEST_CASE("Staged weights fit into the memory beside those in use")
 {
     RankGroup group = makeGroup(8, 5, 32);
-    for (const std::uint64_t room : {0, 2, 5}) {
+    for (const std::uint64_t freeReplicas : {0, 2, 5}) {
         for (RankCapacity &rank : group.ranks)
-            rank.memoryBytes = (group.layers * rank.slots + room) * group.expertBytes;
+            rank.memoryBytes = (group.layers * rank.slots + freeReplicas) * group.expertBytes;
         for (const PlacementPolicy policy : {PlacementPolicy::Greedy, PlacementPolicy::CostAware}) {
             PlacementState state = startedState(group);
             std::mt19937_64 engine(21);
@@ -199,7 +199,7 @@
                                           .size();
                         }
                     }
-                    REQUIRE(staged <= room);
+                    REQUIRE(staged <= freeReplicas);
                 }
                 switchDone(state, decision, true);
             }
@@ -207,9 +207,9 @@
     }
 }
 
-// The group would run on two decisions at once: while one switch is being agreed on, the next
-// report already asks for another.
-TEST_CASE("Nothing is decided while a switch is under way, and an aborted one leaves the map")
+// Two switches would overlap: the next report arrives while the group still agrees on the first
+// one.
+TEST_CASE("No layer moves while a switch is in progress, and an aborted switch keeps the map")
 {
     const RankGroup group = makeGroup(8, 5, 32);
     PlacementState state = startedState(group);
@@ -223,7 +223,7 @@
     const PlacementDecision second =
         decidePlacement(PlacementPolicy::Greedy, group, state, TimePoint() + interval);
     CHECK_FALSE(second.moves());
-    CHECK(second.layers[0].stay == StayReason::SwitchPending);
+    CHECK(second.layers[0].stayReason == StayReason::SwitchPending);
     switchDone(state, decision, false);
     CHECK(state.layers[0].map == before.layers[0]);
     const PlacementDecision third =
@@ -231,7 +231,7 @@
     CHECK(third.moves());
 }
 
-TEST_CASE("Reports that make no sense are refused and leave the state alone")
+TEST_CASE("Invalid load reports are refused and leave the state unchanged")
 {
     const RankGroup group = makeGroup(4, 2, 8);
     PlacementState state = startedState(group);
@@ -243,9 +243,9 @@
         {TimePoint(), 0, std::vector<double>(8, notANumber)},
     };
     for (const LoadReport &report : wrong) {
-        const Result<void> taken = addLoadReport(group, state, report);
-        REQUIRE_FALSE(taken);
-        CHECK(taken.error().kind == ErrorKind::BadInput);
+        const Result<void> result = addLoadReport(group, state, report);
+        REQUIRE_FALSE(result);
+        CHECK(result.error().kind == ErrorKind::BadInput);
     }
     CHECK(state.layers[0].estimate.reports == 0);
     const TimePoint late = TimePoint() + interval;
@@ -255,7 +255,7 @@
     CHECK(state.layers[0].estimate.reports == 1);
 }
 
-TEST_CASE("Groups that can't be are refused")
+TEST_CASE("Invalid groups are refused")
 {
     RankGroup tooSmall = makeGroup(4, 2, 9);
     RankGroup noWeights = makeGroup(4, 2, 8);
@@ -271,7 +271,7 @@
     }
 }
 
-TEST_CASE("No map is better than the lower bound, and the search never makes a map worse")
+TEST_CASE("No map has less skew than the lower bound, and the search never increases the skew")
 {
     std::mt19937_64 engine(17);
     for (int round = 0; round < 50; ++round) {
