--- a/Tests/Version/DemandPlacementTest.cpp
+++ b/Tests/Version/DemandPlacementTest.cpp
@@ -30,7 +30,7 @@
     return map;
 }
 
-/// Loads with a long tail: a few experts are liked many times more than the others.
+/// Loads with a long tail: a few experts are chosen many times more often than the others.
 ExpertDemand skewedDemand(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
@@ -44,7 +44,7 @@
     return demand;
 }
 
-bool keepsRules(const RankMap &current, const RankMap &next)
+bool isValidChange(const RankMap &current, const RankMap &next)
 {
     for (std::size_t set = 0; set < next.size(); ++set) {
         std::vector<int> replicas(profile.expertsPerSet);
@@ -64,7 +64,7 @@
 
 } // namespace
 
-TEST_CASE("A shift of demand is met within two changes of the map")
+TEST_CASE("Two changes of the map balance the group after a shift of demand")
 {
     const std::vector<double> slowdowns(rankCount, 1.0);
     constexpr std::uint64_t seeds = 20;
@@ -77,7 +77,7 @@
             const auto proposal = proposeMap(profile, demand, map, slowdowns, {});
             if (!proposal)
                 break;
-            REQUIRE(keepsRules(map, proposal->map));
+            REQUIRE(isValidChange(map, proposal->map));
             REQUIRE(proposal->skewAfter < proposal->skewBefore);
             map = proposal->map;
         }
@@ -88,9 +88,9 @@
     REQUIRE(sum / seeds < 1.3);
 }
 
-// Streams of a loaded group pause longer than callers bear. Experts were copied two thirds of the
-// time for gains of a few hundredths of skew, and each pass takes longer while they are.
-TEST_CASE("A map that is nearly balanced is left alone")
+// Streams of a loaded group pause for too long. Experts were copied two thirds of the time for
+// gains of a few hundredths of skew, and each pass takes longer during the copies.
+TEST_CASE("A nearly balanced map is not changed")
 {
     ExpertDemand demand = skewedDemand(3);
     for (auto &set : demand.loads)
@@ -100,9 +100,9 @@
     REQUIRE_FALSE(proposeMap(profile, demand, firstMap(), slowdowns, {}));
 }
 
-// Every stream of a group gets one event a second for as long as one rank is slow. All ranks wait
-// for it in each pass, for the experts that it holds as well.
-TEST_CASE("A rank at a twelfth of its speed gives all its experts away")
+// Every stream of a group gets only one event per second while one rank is slow: all ranks wait for
+// that rank in each pass, also for the experts that it holds.
+TEST_CASE("A rank at a twelfth of its speed holds no experts after four changes of the map")
 {
     std::vector<double> slowdowns(rankCount, 1.0);
     slowdowns[5] = 12;
@@ -112,7 +112,7 @@
         const auto proposal = proposeMap(profile, demand, map, slowdowns, {});
         if (!proposal)
             break;
-        REQUIRE(keepsRules(map, proposal->map));
+        REQUIRE(isValidChange(map, proposal->map));
         map = proposal->map;
     }
     for (const auto &set : map)
@@ -120,34 +120,35 @@
     REQUIRE(demandSkew(demand, map, slowdowns) < 1.45);
 }
 
-TEST_CASE("Old demand fades")
+TEST_CASE("Old demand decays")
 {
     ExpertDemand demand;
     const ExpertProfile small{.sets = 1, .expertsPerSet = 2, .expertsPerRank = 2};
     const TimePoint start{seconds(10)};
-    const auto take = [&](const std::vector<std::uint64_t> &counts, TimePoint now) {
+    const auto addWindow = [&](const std::vector<std::uint64_t> &counts, TimePoint now) {
         ExpertDemand window;
         addCounts(window, small, counts);
         mergeWindow(demand, window, now);
     };
-    take({100, 0}, start);
+    addWindow({100, 0}, start);
     REQUIRE(demand.loads[0][0] == 100);
-    take({0, 50}, start + milliseconds(1000));
+    addWindow({0, 50}, start + milliseconds(1000));
     REQUIRE(demand.loads[0][0] == Approx(5));
     REQUIRE(demand.loads[0][1] == Approx(50));
-    // Counts of another shape say nothing.
-    take({1, 2, 3}, start + milliseconds(1000));
+    // Counts with the wrong number of experts are ignored.
+    addWindow({1, 2, 3}, start + milliseconds(1000));
     REQUIRE(demand.loads[0][1] == Approx(50));
 }
 
-TEST_CASE("Counts tell what came since, and nothing of a rank that started anew")
+TEST_CASE(
+    "The difference of counts is empty without earlier counts and after a restart of the rank")
 {
     REQUIRE(countsSince({1, 2}, {4, 2}) == std::vector<std::uint64_t>{3, 0});
     REQUIRE(countsSince({}, {4, 2}).empty());
     REQUIRE(countsSince({5, 2}, {4, 9}).empty());
 }
 
-TEST_CASE("Few counts say nothing")
+TEST_CASE("Too few counts lead to no proposal")
 {
     ExpertDemand demand = skewedDemand(5);
     for (auto &set : demand.loads) {
@@ -157,7 +158,7 @@
     REQUIRE_FALSE(proposeMap(profile, demand, firstMap(), std::vector<double>(rankCount, 1.0), {}));
 }
 
-TEST_CASE("One sidecar leads, and the next one follows when it is silent")
+TEST_CASE("The first sidecar leads, and the second one takes over when the first is silent")
 {
     const TimePoint start{seconds(10)};
     LeaderElection first{.higherPriorityHeardAt = {}, .since = start};
@@ -170,7 +171,7 @@
     REQUIRE(isLeader(second, 1, start + milliseconds(2300)));
 }
 
-TEST_CASE("A map travels as changes against one that is known")
+TEST_CASE("Changes between two maps restore the second one from the first")
 {
     const RankMap from = firstMap();
     RankMap to = from;
@@ -181,11 +182,11 @@
     REQUIRE(applyChanges({}, changes).has_error());
 }
 
-// Quotations stall for a third of a second after each shift of demand: the leader of 72 ranks works
-// on a better map for 50 ms of a core, of which its VM has 0.15, and all passes stay slow
-// meanwhile. A search that looks at the idlest ranks only finds as good a map with a fraction of
-// the work.
-TEST_CASE("A large group with small experts is balanced in one change, with little work")
+// Streams stall for a third of a second after each shift of demand: the leader of 72 ranks searches
+// for a better map with 50 ms of processor time, of which its VM has 0.15 of a core, and all passes
+// stay slow meanwhile. A search that is limited to the least busy ranks finds an equally good map
+// with a fraction of the work.
+TEST_CASE("One change balances a large group with small experts within a bounded search")
 {
     const ExpertProfile large{.sets = 12,
                               .expertsPerSet = 144,
@@ -212,9 +213,10 @@
     REQUIRE(proposal->searchedTerms < 80'000);
 }
 
-// Drafts pause at each shift of demand on the largest deployment: the leader of 63 ranks searched
-// for 28 ms of a core, of which its VM has 0.15, so that the search alone took 0.19 s.
-TEST_CASE("After a shift 63 ranks are balanced again with a fifth of the work")
+// Streams pause at each shift of demand in the largest deployment: the leader of 63 ranks searched
+// with 28 ms of processor time, of which its VM has 0.15 of a core, so that the search alone took
+// 0.19 s. The bound is a fifth of that work.
+TEST_CASE("One change balances 63 ranks after a shift within a bounded search")
 {
     const ExpertProfile large{.sets = 8,
                               .expertsPerSet = 252,
@@ -246,10 +248,10 @@
     }
 }
 
-// A shift of demand is met 0.15 s late: the leader's link carries the new map 72 times. Relays
-// carry most of it; one that is gone would leave its branch without the map, so of each branch the
-// sidecar that was heard of last is chosen.
-TEST_CASE("A large message goes through relays that were heard of last, to each receiver once")
+// The switch after a shift of demand is 0.15 s late, because the leader's link carries the new map
+// 72 times. Relays take over most of this traffic. A failed relay would leave its branch without
+// the map, so the most recently heard sidecar of each branch is its relay.
+TEST_CASE("A large message reaches each receiver once, relayed by the most recently heard sidecars")
 {
     constexpr std::size_t mapBytes = 2000;
     const LinkBandwidth bandwidth = linkBandwidthOf(8);
@@ -263,7 +265,7 @@
         REQUIRE(branch.rest.size() == 8);
         for (const Endpoint &other : branch.rest)
             REQUIRE(other.ip < branch.first.ip);
-        // In the order in which they were heard of, for the stages that follow.
+        // Most recently heard first, for the later stages of the relay.
         REQUIRE(std::is_sorted(branch.rest.rbegin(), branch.rest.rend()));
         reached.push_back(branch.first);
         reached.insert(reached.end(), branch.rest.begin(), branch.rest.end());
@@ -276,7 +278,7 @@
     REQUIRE(relayPlan({}, mapBytes, bandwidth).empty());
 }
 
-TEST_CASE("A relayed message keeps its receivers and its bytes")
+TEST_CASE("Encoding and decoding a relayed message keeps its receivers and its bytes")
 {
     const std::string inner = encodeMessage(RankPoll{});
     const auto decoded = decodeMessage(encodeMessage(RelayedMessage{{{1, 2}, {3, 4}}, inner}));
@@ -286,11 +288,11 @@
     REQUIRE(relayed.message == inner);
 }
 
-// Maps are made from shares of the demand. A favourite must not look like less than it is, nor the
-// many common experts as if nobody chose them.
-TEST_CASE("Counts keep their shares on the way, the small ones too")
+// Maps are computed from shares of the demand. The encoding must neither reduce the count of a
+// frequently chosen expert nor round the many small counts to 0.
+TEST_CASE("Encoded counts keep their shares, including small ones")
 {
-    const auto travelled = [](const std::vector<std::uint64_t> &counts) {
+    const auto encodedAndDecoded = [](const std::vector<std::uint64_t> &counts) {
         const auto decoded = decodeMessage(encodeMessage(CountsReply{.counts = counts}));
         REQUIRE(decoded.has_value());
         return std::get<CountsReply>(decoded.value()).counts;
@@ -298,24 +300,24 @@
     std::vector<std::uint64_t> counts;
     for (std::uint64_t i = 0; i < 384; ++i)
         counts.push_back(1'000'000 / (i + 1));
-    const std::vector<std::uint64_t> back = travelled(counts);
+    const std::vector<std::uint64_t> back = encodedAndDecoded(counts);
     REQUIRE(back.size() == counts.size());
     REQUIRE(back.front() == counts.front());
     const double sum = std::accumulate(counts.begin(), counts.end(), 0.0);
     const double sumBack = std::accumulate(back.begin(), back.end(), 0.0);
     REQUIRE(sumBack == Approx(sum).epsilon(0.03));
     for (std::size_t i = 0; i < counts.size(); ++i) {
-        // Half a level of the square root.
+        // Half a quantization level of the square root.
         const double most = static_cast<double>(counts.front());
         const double step = std::sqrt(static_cast<double>(counts[i]) / most) / 31 + 1.0 / (62 * 62);
         REQUIRE(std::abs(static_cast<double>(back[i]) - static_cast<double>(counts[i]))
                 <= most * step + 1);
     }
-    REQUIRE(travelled({}).empty());
-    REQUIRE(travelled({0, 0}) == std::vector<std::uint64_t>{0, 0});
+    REQUIRE(encodedAndDecoded({}).empty());
+    REQUIRE(encodedAndDecoded({0, 0}) == std::vector<std::uint64_t>{0, 0});
 }
 
-TEST_CASE("Counts that are cut off on the way are refused")
+TEST_CASE("Truncated counts are refused")
 {
     const std::string bytes = encodeMessage(CountsReply{.counts = {1, 2, 3, 4, 5, 6, 7}});
     for (std::size_t length = 0; length < bytes.size(); ++length)
--- a/Tests/Version/DemandShiftTest.cpp
+++ b/Tests/Version/DemandShiftTest.cpp
@@ -14,7 +14,7 @@
 const ExpertProfile profile{
     .sets = 4, .expertsPerSet = 64, .expertsPerRank = 6, .copiesPerMap = 3, .copyMilliseconds = 14};
 
-/// Counts of the whole group in a tenth of a second, some experts liked many times more.
+/// Returns counts of the whole group in 100 ms; some experts are chosen many times more often.
 std::vector<std::uint64_t> drawCounts(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
@@ -25,8 +25,8 @@
     return counts;
 }
 
-std::vector<std::uint64_t> mixed(const std::vector<std::uint64_t> &a,
-                                 const std::vector<std::uint64_t> &b)
+std::vector<std::uint64_t> averageOf(const std::vector<std::uint64_t> &a,
+                                     const std::vector<std::uint64_t> &b)
 {
     std::vector<std::uint64_t> sum;
     for (std::size_t i = 0; i < a.size(); ++i)
@@ -34,19 +34,21 @@
     return sum;
 }
 
-/// A group that stands idle under a map, as its leader sees it.
+/// A leader's view of a group that keeps one map in force.
 class Group
 {
 public:
-    explicit Group(RankMap map) : map_(std::move(map)) { tellStatuses(); }
+    explicit Group(RankMap map) : map_(std::move(map)) { reportStatuses(); }
 
-    /// One window of counts, a tenth of a second after the last one.
-    /// @param passes Passes that it is of.
+    /// Adds a window of counts, 100 ms after the last one.
+    /// @param passes Number of passes that the window covers.
+    /// @param ranks Number of ranks whose counts arrived.
+    /// @return The event of the leader's update.
     SwitchEvent window(const std::vector<std::uint64_t> &counts, std::uint64_t passes = 1,
                        std::uint32_t ranks = rankCount)
     {
         now_ += milliseconds(100);
-        tellStatuses();
+        reportStatuses();
         addDemand(group_, profile, timing_,
                   {.group = "g", .epoch = 1, .ranks = ranks, .passes = passes, .counts = counts},
                   now_);
@@ -59,7 +61,7 @@
     const RankMap &proposed() const { return group_.map; }
 
 private:
-    void tellStatuses()
+    void reportStatuses()
     {
         for (std::uint32_t rank = 0; rank < rankCount; ++rank) {
             RankStatus status{.engine = {rank + 1, 1}};
@@ -84,7 +86,7 @@
     return demandSkew(demand, map, std::vector<double>(rankCount, 1.0));
 }
 
-/// A map that fits a demand.
+/// Returns a map that fits a demand.
 RankMap settledMap(const std::vector<std::uint64_t> &counts)
 {
     RankMap map = firstRankMap(profile, rankCount);
@@ -102,11 +104,11 @@
 
 } // namespace
 
-TEST_CASE("The map after a shift is made for the new demand alone")
+TEST_CASE("The map after a shift is computed only from counts after the shift")
 {
-    // Each stream of a group has several late events at each shift of demand, not one: the counts
-    // of the moment of the shift hold requests of before and after, the leader made a map for this
-    // mixture, and needed another change 0.4 s later.
+    // Each stream of a group has several late events at each shift of demand instead of one: the
+    // counts around the shift include requests from before and after it, the leader computed a map
+    // for this mixture, and another change was needed 0.4 s later.
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         const auto before = drawCounts(seed);
         const auto after = drawCounts(seed + 100);
@@ -114,15 +116,15 @@
         for (int i = 0; i < 5; ++i)
             REQUIRE(group.window(before) == SwitchEvent::Nothing);
         CAPTURE(seed);
-        REQUIRE(group.window(mixed(before, after), 2) == SwitchEvent::Nothing);
-        // A mixture that stays within the noise of prompts shows the shift one window later.
+        REQUIRE(group.window(averageOf(before, after), 2) == SwitchEvent::Nothing);
+        // If the mixture stays within the noise of prompts, the shift is detected one window later.
         if (group.window(after, 2) != SwitchEvent::Preparing)
             REQUIRE(group.window(after, 2) == SwitchEvent::Preparing);
         REQUIRE(skewUnder(after, group.proposed()) < 1.25);
     }
 }
 
-TEST_CASE("A shift that shows between two passes is answered at once")
+TEST_CASE("A shift between two passes starts a switch in the first window after it")
 {
     const auto before = drawCounts(1);
     const auto after = drawCounts(101);
@@ -130,23 +132,23 @@
     for (int i = 0; i < 5; ++i)
         group.window(before);
     REQUIRE_FALSE(group.demandShiftedAt());
-    // No pass began since the last question.
+    // No pass has begun since the last request.
     REQUIRE(group.window(std::vector<std::uint64_t>(before.size(), 0), 0) == SwitchEvent::Nothing);
     REQUIRE(group.window(after) == SwitchEvent::Preparing);
     REQUIRE(skewUnder(after, group.proposed()) < 1.25);
-    // The line of the switch tells how long ago this was.
+    // The log line of the switch includes the time since the shift.
     REQUIRE(group.demandShiftedAt());
 }
 
-TEST_CASE("Counts of some ranks that come late do not hold up the look for a better map")
+TEST_CASE("Missing counts of some ranks do not delay the search for a better map")
 {
     const auto before = drawCounts(1);
     const auto after = drawCounts(2);
     Group group(settledMap(before));
     for (int i = 0; i < 3; ++i)
         group.window(before);
-    constexpr std::uint32_t heard = rankCount - 4;
+    constexpr std::uint32_t answeringRanks = rankCount - 4;
     int windows = 0;
-    while (group.window(after, 1, heard) != SwitchEvent::Preparing)
+    while (group.window(after, 1, answeringRanks) != SwitchEvent::Preparing)
         REQUIRE(++windows < 3);
 }
--- a/Tests/Version/ExpertMapCacheTest.cpp
+++ b/Tests/Version/ExpertMapCacheTest.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("Changes go on from the first map, and from maps that were ordered")
+TEST_CASE("Changes apply to the initial map and to maps of earlier orders")
 {
     ExpertMapCache cache;
     const auto first = resolveMap(cache, profile, ranks, changesFrom(0, 5, {{0, 1, {1, 2}}}));
@@ -29,7 +29,7 @@
     REQUIRE(second.value() == RankMap{{{0, 3}, {1, 2}}});
 }
 
-TEST_CASE("Changes from an unknown map, or that do not fit it, are told so")
+TEST_CASE("Changes to an unknown map, or that do not fit the base map, return an error")
 {
     ExpertMapCache cache;
     REQUIRE(resolveMap(cache, profile, ranks, changesFrom(7, 8, {})).error().kind
@@ -40,9 +40,10 @@
     REQUIRE_FALSE(hasMap(cache, profile, 8));
 }
 
-// After some switches that were given up, each further map travels whole to each of 72 ranks and
-// fills the leader's link: sidecars had forgotten the map in force, which had the lowest version.
-TEST_CASE("The map in force is never forgotten")
+// After several abandoned switches, every new map is sent complete to each of 72 ranks and
+// saturates the leader's link: sidecars had evicted the map in force, because it had the lowest
+// version.
+TEST_CASE("The map in force is never evicted")
 {
     ExpertMapCache cache;
     REQUIRE(resolveMap(cache, profile, ranks, changesFrom(0, 5, {})).has_value());
--- a/Tests/Version/PlacementStagingTest.cpp
+++ b/Tests/Version/PlacementStagingTest.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("A staging plan loads what the new map lacks, once, within the store's rate")
+TEST_CASE("A staging plan copies each missing replica once, within the store's rate")
 {
     const RankGroup group = makeGroup();
     std::mt19937_64 engine(4);
@@ -67,9 +67,9 @@
     }
 }
 
-// A rank runs out of memory half-way through staging: the old weights still serve, and there is no
-// room for the new ones beside them. The switch must be refused before anything is loaded.
-TEST_CASE("A switch that a rank has no memory to stage is refused")
+// A rank runs out of memory during staging, because the old weights are still in use beside the new
+// ones. The switch must be refused before any weights are copied.
+TEST_CASE("A switch is refused when a rank lacks the memory to stage it")
 {
     RankGroup group = makeGroup();
     std::mt19937_64 engine(8);
