--- a/Source/Programs/Bench/PlacementReplay.cpp
+++ b/Source/Programs/Bench/PlacementReplay.cpp
@@ -152,7 +152,7 @@
 
 void Replay::finishSwitch(milliseconds now)
 {
-    switchDone(state_, pending_->decision, true);
+    endSwitch(state_, pending_->decision, true);
     ++result_.switches;
     for (const LayerDecision &layer : pending_->decision.layers) {
         if (!layer.next)
@@ -212,7 +212,7 @@
         decidePlacement(options_.policy, knownGroup_, state_, TimePoint(now));
     const TimePoint after = options_.clock ? options_.clock() : TimePoint();
     decideTimes_.push_back(std::chrono::duration_cast<microseconds>(after - before));
-    if (decision.moves())
+    if (decision.hasNewMap())
         return stage(now, std::move(decision));
     return boost::outcome_v2::success();
 }
@@ -242,7 +242,7 @@
     }
     ExpertMap initial;
     initial.layers.assign(group_.layers, initialLayerMap(group_));
-    BOOST_OUTCOME_TRY(started, startPlacement(group_, initial));
+    BOOST_OUTCOME_TRY(started, initialPlacement(group_, initial));
     state_ = std::move(started);
     for (std::uint32_t layer = 0; layer < group_.layers; ++layer)
         publish(begin_, layer);
--- a/Source/Version/CountsAggregation.h
+++ b/Source/Version/CountsAggregation.h
@@ -26,17 +26,20 @@
     CountsReply sum;
 };
 
-/// Adds the counts of one rank, or the sum of several. Counts of a newer epoch, after the group was
-/// re-formed, replace the sum; those of an older epoch are ignored.
+/// Adds the counts of one rank, or the sum of several. Counts of another group or a newer epoch,
+/// after the group was re-formed, replace the sum; those of an older epoch are ignored. A reply
+/// whose number of counts differs only adds to `ranks` and `passes`. Every reply, also an ignored
+/// one, reduces `awaited`.
 void addCounts(CountsAggregation &aggregation, const CountsReply &reply);
 
 /// Returns whether the sum is to be sent now: all sidecars have replied, or the timeout has passed.
 bool isDue(const CountsAggregation &aggregation, TimePoint now);
 
 /// Removes the due sums from the list and returns them. They must be removed before any of them is
-/// sent: a sum that this process requested while it was the leader is added to the list again when
-/// it is due after a change of leader. During an iteration over that list this crashed the process,
-/// at times after it had sent another sum so often that its link was saturated for minutes.
+/// sent, because sending can change the list: a sum that this process requested while it was the
+/// leader may be due when it no longer is, and is then added to another sum of the list. A change
+/// during an iteration over the list crashes the process, or makes it send one sum so often that
+/// its link is saturated for minutes.
 std::vector<CountsAggregation> extractDue(std::vector<CountsAggregation> &aggregations,
                                           TimePoint now);
 
--- a/Source/Version/DemandPlacement.cpp
+++ b/Source/Version/DemandPlacement.cpp
@@ -14,11 +14,12 @@
 /// the decay only averages the noise of single prompts: about ten passes contribute.
 constexpr double decayFactor = 0.05;
 constexpr milliseconds decayPeriod{1000};
-/// Minimum total count of a set. With fewer counts the demand is too uncertain to act on: at this
-/// total the noise of one expert's count is still a tenth of it.
+/// Minimum total count of a set. With fewer counts the demand is too uncertain to act on: the
+/// relative noise of an average expert's count is then sqrt(expertsPerSet / minCounts), a tenth for
+/// 40 experts.
 constexpr double minCounts = 4000;
-/// Evaluations of a rank's time that the search of one set may make, so that it ends within the
-/// duration of a pass.
+/// Evaluations of a rank's term, see SearchBudget, that the search of one set may make, so that it
+/// ends within the duration of a pass.
 constexpr std::uint64_t maxSearchTerms = 300000;
 /// Ranks that each step of the search may move experts to. Work of the busiest rank goes to the
 /// least busy ones; more candidates take longer and lead to the same skew.
--- a/Source/Version/DemandPlacement.h
+++ b/Source/Version/DemandPlacement.h
@@ -12,6 +12,8 @@
 
 /// Demand for the experts of one group, from recent counts of its ranks. A value type without I/O.
 ///
+/// A set is several layers that share one map; LayerMap and the search treat it as one layer.
+///
 /// Demand may move to other experts from one moment to the next. It is cleared then, see
 /// hasShifted(); between shifts it decays slowly, so that single prompts do not determine the map.
 struct ExpertDemand
@@ -21,8 +23,8 @@
     std::optional<TimePoint> decayedAt;
 };
 
-/// Returns the difference between two counts of a rank, one set after the other. Differences take a
-/// third of the bytes of the total counts, and a lost one only makes the demand less certain.
+/// Returns the difference between two counts of a rank, one set after the other. They are
+/// sent instead of totals because a lost one only makes the demand less certain.
 /// @return Empty when there are no earlier counts, or when the counts show that the rank restarted.
 std::vector<std::uint64_t> countsSince(const std::vector<std::uint64_t> &before,
                                        const std::vector<std::uint64_t> &now);
@@ -35,13 +37,13 @@
 /// Decays the demand up to `now` and adds the counts of a window.
 void mergeWindow(ExpertDemand &demand, const ExpertDemand &window, TimePoint now);
 
-/// Skew, averaged over the sets, by which the latest counts must exceed the known demand to count
-/// as a shift. The noise of one pass's prompts in a large group stays below it; a shift is far
-/// above it.
+/// Minimum increase of a map's skew, averaged over the sets, from the known demand to the latest
+/// counts, to count as a shift. The noise of one pass's prompts in a large group stays below it; a
+/// shift is far above it.
 constexpr double minShiftSkew = 0.5;
 
-/// Returns whether the latest counts are served worse by the map than the known demand, by more
-/// than minShiftSkew. False while the known demand is empty.
+/// Returns whether the map's skew under the latest counts exceeds its skew under the known demand
+/// by more than minShiftSkew. False while the known demand is empty.
 bool hasShifted(const ExpertDemand &known, const ExpertDemand &latest, const RankMap &map,
                 const std::vector<double> &slowdowns);
 
@@ -69,7 +71,8 @@
     double skewAfter = 1;
     /// Number of experts to copy.
     std::uint32_t copies = 0;
-    /// Work of the search, in evaluations of a rank's time; a million take about 10 ms of a core.
+    /// Work of the search, in evaluations of a rank's term, see SearchBudget; a million take about
+    /// 10 ms of a core.
     std::uint64_t searchedTerms = 0;
 };
 
--- a/Source/Version/GroupDemand.h
+++ b/Source/Version/GroupDemand.h
@@ -4,9 +4,9 @@
 
 namespace wisteria {
 
-/// Adds counts of how often ranks of the group chose each expert since the last request.
+/// Adds counts of how often ranks of the group chose each expert since the last CountsPoll.
 ///
-/// The counts that answer one request form a window. When a window shows that the demand has
+/// The counts that answer one poll form a window. When a window shows that the demand has
 /// shifted, the earlier demand is discarded. If that window covers several passes, it is discarded
 /// too, because it mixes counts from before and after the shift: a map for the mixture fits neither
 /// demand and would need another switch.
--- a/Source/Version/LayerSearch.cpp
+++ b/Source/Version/LayerSearch.cpp
@@ -229,7 +229,7 @@
 }
 
 /// Evaluates replacing a replicated expert of the busiest rank by another expert.
-void LayerSearch::considerDrop(std::size_t busiest, std::size_t slot)
+void LayerSearch::considerReplacement(std::size_t busiest, std::size_t slot)
 {
     if (holders_[map_.ranks[busiest][slot]].size() < 2)
         return;
@@ -266,13 +266,13 @@
             considerExchange(busiest, slot, rank);
         }
     }
-    // Such a step rarely lowers the sum, and one that does uses up the busiest rank's staging
-    // capacity. Evaluated along with the others, these steps take most of the work and lead to
-    // worse maps.
+    // Replacing an expert of the busiest rank rarely lowers the sum, and uses up that rank's
+    // staging capacity when it does. Evaluated along with the other steps, replacements take most
+    // of the work and lead to worse maps.
     const bool improves = std::any_of(steps_.begin(), steps_.end(),
                                       [](const SearchStep &step) { return step.change < 0; });
     for (std::size_t slot = 0; slot < map_.ranks[busiest].size() && !improves; ++slot)
-        considerDrop(busiest, slot);
+        considerReplacement(busiest, slot);
     std::erase_if(steps_, [](const SearchStep &step) { return step.moves == 0; });
     std::stable_sort(steps_.begin(), steps_.end(), [](const SearchStep &a, const SearchStep &b) {
         return a.change / a.moves < b.change / b.moves;
--- a/Source/Version/LayerSearch.h
+++ b/Source/Version/LayerSearch.h
@@ -10,7 +10,7 @@
 
 namespace wisteria {
 
-/// Slot number that denotes a free slot.
+/// Denotes no slot: a step's expert goes into a free slot, or the step is no exchange.
 inline constexpr std::size_t noSlot = std::numeric_limits<std::size_t>::max();
 
 /// One step of the search: `rank` replaces the expert in `slot` by `expert`, or adds it in a free
@@ -23,6 +23,8 @@
     ExpertId expert = 0;
     std::size_t otherRank = 0;
     std::size_t otherSlot = noSlot;
+    /// Replicas that the step places: 1, or 2 for an exchange. Also counts replicas that the rank
+    /// holds in the map in force and need not copy.
     std::uint32_t moves = 0;
     /// Change of the sum whose logarithm expectedSkew() takes; negative for a gain.
     double change = 0;
@@ -48,7 +50,7 @@
     const LayerMap &map() const { return map_; }
 
     /// Evaluates the steps that involve the busiest rank and keeps, for each partner rank, the one
-    /// with the lowest change of the sum per copied replica. Steps in which the busiest rank only
+    /// with the lowest change of the sum per placed replica. Steps in which the busiest rank only
     /// replaces one of its experts by another are evaluated when no other step lowers the sum.
     /// @return The kept steps, the best first; even the first one may raise the sum.
     const std::vector<SearchStep> &scan();
@@ -81,7 +83,7 @@
     void consider(std::size_t partner, const SearchStep &step);
     void considerFurtherReplica(std::size_t busiest, ExpertId expert, std::size_t rank);
     void considerExchange(std::size_t busiest, std::size_t slot, std::size_t rank);
-    void considerDrop(std::size_t busiest, std::size_t slot);
+    void considerReplacement(std::size_t busiest, std::size_t slot);
     void assignSlot(std::size_t rank, std::size_t slot, ExpertId expert);
 
     const RankGroup &group_;
@@ -90,6 +92,7 @@
     LayerMap map_;
     std::vector<double> loads_;
     double relativeVariance_;
+    /// k in expectedSkew().
     double sharpness_ = 0;
     std::vector<char> held_;
     /// Experts that each rank holds in the map in force, and the number that it has to copy so far.
--- a/Source/Version/Placement.cpp
+++ b/Source/Version/Placement.cpp
@@ -32,7 +32,8 @@
 LayerDecision decideGreedy(const RankGroup &group, const LayerPlacement &placement,
                            std::uint32_t layer)
 {
-    if (placement.newestLoads.empty() || placement.decidedAtReports == placement.estimate.reports)
+    if (placement.newestLoads.empty()
+        || placement.reportsAtLastDecision == placement.estimate.reports)
         return unchangedLayer(layer, StayReason::NoNewReport);
     LayerDecision decision;
     decision.layer = layer;
@@ -150,13 +151,13 @@
     return "unknown";
 }
 
-bool PlacementDecision::moves() const
+bool PlacementDecision::hasNewMap() const
 {
     return std::any_of(layers.begin(), layers.end(),
                        [](const LayerDecision &layer) { return layer.next.has_value(); });
 }
 
-Result<PlacementState> startPlacement(const RankGroup &group, const ExpertMap &map)
+Result<PlacementState> initialPlacement(const RankGroup &group, const ExpertMap &map)
 {
     BOOST_OUTCOME_TRYV(checkRankGroup(group));
     if (map.layers.size() != group.layers) {
@@ -198,14 +199,14 @@
     const bool periodicDue = isPeriodicDue(state, now);
     PlacementDecision decision = decideLayers(policy, group, state, periodicDue);
     for (LayerPlacement &layer : state.layers)
-        layer.decidedAtReports = layer.estimate.reports;
+        layer.reportsAtLastDecision = layer.estimate.reports;
     if (periodicDue)
         state.lastPeriodicDecision = now;
-    state.switching = decision.moves();
+    state.switching = decision.hasNewMap();
     return decision;
 }
 
-void switchDone(PlacementState &state, const PlacementDecision &decision, bool inForce)
+void endSwitch(PlacementState &state, const PlacementDecision &decision, bool inForce)
 {
     state.switching = false;
     if (!inForce)
--- a/Source/Version/Placement.h
+++ b/Source/Version/Placement.h
@@ -17,7 +17,7 @@
     Static, ///< Never moves experts.
     Greedy, ///< Computes a new map at every report, regardless of the cost of moves.
     Periodic, ///< Same as Greedy, but every ten minutes.
-    CostAware, ///< Moves experts only when the gain exceeds the cost before the loads drift.
+    CostAware, ///< Moves experts only when the gain until the loads drift justifies the cost.
 };
 
 /// Returns the policy with a lower-case name.
@@ -32,7 +32,8 @@
     NoDrift, ///< Loads and rank speeds still match those that the current map was computed for.
     NoNewReport, ///< No load report has arrived since the last decision.
     TooFewReports, ///< The estimate is still too uncertain for a first move.
-    GainWithinNoise, ///< The possible gain is not larger than the noise.
+    /// The possible gain is not larger than the noise, or the greedy map needs no copies.
+    GainWithinNoise,
     NoPayback, ///< The moves would cost more than they gain before the loads drift.
     NoStagingCapacity, ///< A rank lacks the memory to stage the new weights beside the old ones.
     SwitchPending, ///< A switch to the maps of an earlier decision is in progress.
@@ -74,7 +75,7 @@
     std::vector<LayerDecision> layers;
 
     /// Returns whether any layer gets a new map.
-    bool moves() const;
+    bool hasNewMap() const;
 };
 
 /// State of one layer that decisions use.
@@ -84,8 +85,8 @@
     LoadEstimate estimate;
     /// Loads of the newest report, for the policies that don't smooth.
     std::vector<double> newestLoads;
-    /// Number of reports received when the last decision was made.
-    std::uint32_t decidedAtReports = 0;
+    /// Number of reports at the last call of decidePlacement() that was not during a switch.
+    std::uint32_t reportsAtLastDecision = 0;
     /// Estimate that the current map was computed from.
     MapBasis basis;
 };
@@ -102,19 +103,19 @@
 
 /// Returns the initial state of a group with the given map in force.
 /// @return BadSettings for an invalid group, BadInput for a map that does not fit it.
-Result<PlacementState> startPlacement(const RankGroup &group, const ExpertMap &map);
+Result<PlacementState> initialPlacement(const RankGroup &group, const ExpertMap &map);
 
 /// Adds a load report.
 /// @return BadInput for a report that does not fit the group; the state is unchanged then.
 Result<void> addLoadReport(const RankGroup &group, PlacementState &state, const LoadReport &report);
 
 /// Decides on new maps. After a decision with a new map, every layer keeps its map until
-/// switchDone().
+/// endSwitch().
 PlacementDecision decidePlacement(PlacementPolicy policy, const RankGroup &group,
                                   PlacementState &state, TimePoint now);
 
 /// Ends the switch to a decision's maps.
 /// @param inForce Whether the new maps are in force; otherwise the old ones stay in force.
-void switchDone(PlacementState &state, const PlacementDecision &decision, bool inForce);
+void endSwitch(PlacementState &state, const PlacementDecision &decision, bool inForce);
 
 } // namespace wisteria
--- a/Source/Version/PlacementCostAware.cpp
+++ b/Source/Version/PlacementCostAware.cpp
@@ -30,13 +30,13 @@
 constexpr double driftFactor = 2.2;
 /// Minimum ratio of a move's gain to its cost.
 constexpr double paybackFactor = 2.0;
-/// Skew above that of a greedy map from which the search restarts from other maps.
+/// When the found skew exceeds that of a greedy map by this much, the search restarts.
 constexpr double restartSkew = 0.02;
 /// Times of a rank, relative to a balanced group, up to which a restart leaves experts in place.
 constexpr std::array<double, 3> restartCeilings = {1.0, 0.95, 0.85};
 
-/// Skew above that of a greedy map from which no steps from the current map are tried, because too
-/// many would be needed.
+/// When the current skew exceeds that of a greedy map by this much, the current map is not improved
+/// step by step, because too many steps would be needed.
 constexpr double maxIncrementalSkew = 0.25;
 /// Maximum number of terms that a decision evaluates, see SearchBudget; about 5 ms on one core.
 constexpr std::uint64_t maxDecisionTerms = 400000;
@@ -56,8 +56,8 @@
     StayReason stayReason = StayReason::None;
 };
 
-/// Returns the minimum gain in skew of one copied replica that justifies its use of the weight
-/// store's time, by the declared weights, before the loads drift.
+/// Returns the minimum gain in skew of one copied replica: its value until the loads drift is then
+/// paybackFactor times the cost of the weight store's time, both by the declared weights.
 double paybackGain(const RankGroup &group, const LoadForecast &forecast)
 {
     const double horizon = std::chrono::duration<double>(forecast.horizon).count();
@@ -68,10 +68,10 @@
     return paybackFactor * group.costWeight * copySeconds / valuePerSkew;
 }
 
-/// Returns the standard deviation of the time of the rank that depends most on single experts,
-/// caused by the errors of two estimates: the one that the current map was computed from and the
-/// newest one. Even with noise alone, a better estimate always suggests a gain of this order; a
-/// policy that follows it would move experts forever without drift.
+/// Returns the largest standard deviation of a rank's time that the errors of two estimates cause:
+/// the one that the current map was computed from and the newest one. Even with noise alone, a
+/// better estimate always suggests a gain of this order; a policy that follows it would move
+/// experts forever without drift.
 double noiseSkew(const RankGroup &group, const LayerPlacement &placement,
                  const LoadForecast &forecast)
 {
@@ -101,9 +101,9 @@
 
 /// Returns whether the loads differ from those that the current map was computed for by more than
 /// the errors of both estimates explain, or the rank speeds differ at all. Also true when the map
-/// was computed just after a jump, from a barely known load. Without drift, the mean squared
-/// difference in units of its variance is 1: noise makes a new estimate differ slightly everywhere,
-/// and moves must not follow it.
+/// was computed just after a jump, from a barely known load. Without drift, the sum of
+/// the squared differences, each divided by the share, is about relativeVariance: noise makes a new
+/// estimate differ slightly everywhere, and moves must not follow it.
 bool hasDrifted(const RankGroup &group, const MapBasis &basis, const LoadForecast &forecast)
 {
     if (basis.shares.empty() || !basis.settled || basis.rankSpeeds != speedsOf(group))
@@ -143,7 +143,7 @@
     LayerAssessment assessment;
     assessment.layer = layer;
     const LoadEstimate &estimate = placement.estimate;
-    if (placement.decidedAtReports == estimate.reports)
+    if (placement.reportsAtLastDecision == estimate.reports)
         assessment.stayReason = StayReason::NoNewReport;
     else if (estimate.reports < reportsBeforeFirstMove)
         assessment.stayReason = StayReason::TooFewReports;
--- a/Source/Version/PlacementEstimate.cpp
+++ b/Source/Version/PlacementEstimate.cpp
@@ -106,7 +106,7 @@
 /// and the rank that holds the expert would be the straggler meanwhile.
 bool hasJumped(LoadEstimate &estimate, std::size_t expert, double share, double level)
 {
-    const double deviation = std::max(std::sqrt(estimate.noise), minNoise) * level;
+    const double deviation = std::max(std::sqrt(estimate.noiseVariance), minNoise) * level;
     const double floor = minNoise / static_cast<double>(estimate.reportsPerExpert.size());
     const double deviations = (share - level) / (deviation + floor);
     int sign = 0;
@@ -162,7 +162,7 @@
     if (variances <= 0)
         return;
     const double weight = std::max(errorGain, 1.0 / estimate.reports);
-    estimate.noise += weight * (squares / variances - estimate.noise);
+    estimate.noiseVariance += weight * (squares / variances - estimate.noiseVariance);
 }
 
 void updateLevels(LoadEstimate &estimate, const std::vector<double> &shares, double intervals)
@@ -219,7 +219,7 @@
     const std::size_t row = bestRow(estimate);
     const double gain = std::max(smoothingGains[row], 1.0 / estimate.reports);
     forecast.shares = estimate.levels[row];
-    forecast.noise = std::sqrt(estimate.noise);
+    forecast.noise = std::sqrt(estimate.noiseVariance);
     forecast.uncertainty = uncertaintyOf(gain, estimate.reports);
     const auto fewest =
         std::min_element(estimate.reportsPerExpert.begin(), estimate.reportsPerExpert.end());
--- a/Source/Version/PlacementEstimate.h
+++ b/Source/Version/PlacementEstimate.h
@@ -34,8 +34,8 @@
     std::vector<std::uint32_t> reportsPerExpert;
     /// Sign of each expert's difference in the last report if it was an outlier, otherwise 0.
     std::vector<int> lastOutlierSigns;
-    /// Squared noise of a report, relative to the load.
-    double noise = 0;
+    /// Variance of the noise of a report, in units of the squared load.
+    double noiseVariance = 0;
     std::uint32_t reports = 0;
     TimePoint at;
     /// Smoothed time between two reports.
--- a/Source/Version/PlacementSearch.h
+++ b/Source/Version/PlacementSearch.h
@@ -26,7 +26,8 @@
     double minGainPerMove = 0;
     /// Replicas that each rank can stage beside those in use; empty when unlimited.
     std::vector<std::uint32_t> stagingCapacity;
-    /// Number of least busy ranks that a step may involve besides the busiest one; 0 for all.
+    /// Besides the busiest rank, a step may involve ranks that are no busier than the
+    /// (maxPartners + 1)-th least busy one; 0 for all ranks.
     std::uint32_t maxPartners = 0;
 };
 
@@ -50,17 +51,18 @@
 };
 
 /// Returns an upper bound of the expected skew of a map under the noise:
-/// log(sum of exp(k mean + k^2 variance / 2)) / k over the ranks' times. For every k this bounds
-/// the expected maximum of normal variables, independent or not; k is chosen to make the bound
-/// tight. Splitting a noisy expert into replicas lowers the bound even where the mean times don't
-/// change.
+/// log(sum of exp(k mean + k^2 variance / 2)) / k, with one term for the time of each rank. For
+/// every k this bounds the expected maximum of normal variables, independent or not; k is chosen to
+/// make the bound tight. Splitting a noisy expert into replicas lowers the bound even where the
+/// mean times don't change.
 double expectedSkew(const RankGroup &group, const LayerMap &map, const SearchProblem &problem);
 
-/// Improves a map by steepest descent: applies the step with the most gain per copied replica while
-/// the gain reaches SearchLimits::minGainPerMove. A step relieves the busiest rank by adding a
-/// replica elsewhere, by dropping a replica, or by exchanging two experts. Deterministic: ties go
-/// to the first step found. Every intermediate map is valid, so the search may end early when the
-/// budget is used up.
+/// Improves a map by steepest descent: applies the step with the most gain per placed replica while
+/// the gain reaches SearchLimits::minGainPerMove. When no single step does, it applies the best
+/// pair of steps. A step relieves the busiest rank by adding a replica elsewhere, by replacing one
+/// of its replicated experts, or by exchanging two experts. Deterministic: ties go to the first
+/// step found. Every intermediate map is valid, so the search may end early when the budget is used
+/// up.
 /// @param current The map in force, which moves are counted from.
 /// @param start The map to improve: the current one, or another one for the same group.
 SearchResult improveLayerMap(const RankGroup &group, const LayerMap &current, const LayerMap &start,
--- a/Source/Version/PlacementStaging.h
+++ b/Source/Version/PlacementStaging.h
@@ -26,8 +26,8 @@
     bool operator==(const StagedTransfer &) const = default;
 };
 
-/// All transfers of a switch of maps, in the order in which they begin. Staging does not affect
-/// steps: the current map stays in force until the group agrees on the switch.
+/// All transfers of a switch of maps, in the order in which they begin. The
+/// current map stays in force until the group agrees on the switch.
 struct StagingPlan
 {
     std::vector<StagedTransfer> transfers;
--- a/Tests/Version/DemandPlacementTest.cpp
+++ b/Tests/Version/DemandPlacementTest.cpp
@@ -50,8 +50,8 @@
         std::vector<int> replicas(profile.expertsPerSet);
         for (std::size_t rank = 0; rank < rankCount; ++rank) {
             const auto &held = next[set][rank];
-            const auto loads = missingExperts(current[set][rank], held).size();
-            if (held.size() > profile.expertsPerRank || loads > profile.copiesPerMap)
+            const auto copies = missingExperts(current[set][rank], held).size();
+            if (held.size() > profile.expertsPerRank || copies > profile.copiesPerMap)
                 return false;
             for (const std::uint32_t expert : held)
                 ++replicas[expert];
@@ -158,7 +158,7 @@
     REQUIRE_FALSE(proposeMap(profile, demand, firstMap(), std::vector<double>(rankCount, 1.0), {}));
 }
 
-TEST_CASE("The first sidecar leads, and the second one takes over when the first is silent")
+TEST_CASE("The sidecar listed first leads, and the second one takes over when the first is silent")
 {
     const TimePoint start{seconds(10)};
     LeaderElection first{.higherPriorityHeardAt = {}, .since = start};
@@ -255,6 +255,7 @@
 {
     constexpr std::size_t mapBytes = 2000;
     const LinkBandwidth bandwidth = linkBandwidthOf(8);
+    // Most recently heard first: here in descending order of address.
     std::vector<Endpoint> engines;
     for (std::uint32_t i = 72; i > 0; --i)
         engines.push_back({i, 1});
@@ -307,7 +308,7 @@
     const double sumBack = std::accumulate(back.begin(), back.end(), 0.0);
     REQUIRE(sumBack == Approx(sum).epsilon(0.03));
     for (std::size_t i = 0; i < counts.size(); ++i) {
-        // Half a quantization level of the square root.
+        // Half a quantization level of the square root, which has 31 levels.
         const double most = static_cast<double>(counts.front());
         const double step = std::sqrt(static_cast<double>(counts[i]) / most) / 31 + 1.0 / (62 * 62);
         REQUIRE(std::abs(static_cast<double>(back[i]) - static_cast<double>(counts[i]))
--- a/Tests/Version/DemandShiftTest.cpp
+++ b/Tests/Version/DemandShiftTest.cpp
@@ -44,8 +44,8 @@
     /// @param passes Number of passes that the window covers.
     /// @param ranks Number of ranks whose counts arrived.
     /// @return The event of the leader's update.
-    SwitchEvent window(const std::vector<std::uint64_t> &counts, std::uint64_t passes = 1,
-                       std::uint32_t ranks = rankCount)
+    SwitchEvent addWindow(const std::vector<std::uint64_t> &counts, std::uint64_t passes = 1,
+                          std::uint32_t ranks = rankCount)
     {
         now_ += milliseconds(100);
         reportStatuses();
@@ -87,7 +87,7 @@
 }
 
 /// Returns a map that fits a demand.
-RankMap settledMap(const std::vector<std::uint64_t> &counts)
+RankMap fittingMap(const std::vector<std::uint64_t> &counts)
 {
     RankMap map = firstRankMap(profile, rankCount);
     ExpertDemand demand;
@@ -112,14 +112,14 @@
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         const auto before = drawCounts(seed);
         const auto after = drawCounts(seed + 100);
-        Group group(settledMap(before));
+        Group group(fittingMap(before));
         for (int i = 0; i < 5; ++i)
-            REQUIRE(group.window(before) == SwitchEvent::Nothing);
+            REQUIRE(group.addWindow(before) == SwitchEvent::Nothing);
         CAPTURE(seed);
-        REQUIRE(group.window(averageOf(before, after), 2) == SwitchEvent::Nothing);
+        REQUIRE(group.addWindow(averageOf(before, after), 2) == SwitchEvent::Nothing);
         // If the mixture stays within the noise of prompts, the shift is detected one window later.
-        if (group.window(after, 2) != SwitchEvent::Preparing)
-            REQUIRE(group.window(after, 2) == SwitchEvent::Preparing);
+        if (group.addWindow(after, 2) != SwitchEvent::Preparing)
+            REQUIRE(group.addWindow(after, 2) == SwitchEvent::Preparing);
         REQUIRE(skewUnder(after, group.proposed()) < 1.25);
     }
 }
@@ -128,27 +128,28 @@
 {
     const auto before = drawCounts(1);
     const auto after = drawCounts(101);
-    Group group(settledMap(before));
+    Group group(fittingMap(before));
     for (int i = 0; i < 5; ++i)
-        group.window(before);
+        group.addWindow(before);
     REQUIRE_FALSE(group.demandShiftedAt());
     // No pass has begun since the last request.
-    REQUIRE(group.window(std::vector<std::uint64_t>(before.size(), 0), 0) == SwitchEvent::Nothing);
-    REQUIRE(group.window(after) == SwitchEvent::Preparing);
+    REQUIRE(group.addWindow(std::vector<std::uint64_t>(before.size(), 0), 0)
+            == SwitchEvent::Nothing);
+    REQUIRE(group.addWindow(after) == SwitchEvent::Preparing);
     REQUIRE(skewUnder(after, group.proposed()) < 1.25);
     // The log line of the switch includes the time since the shift.
     REQUIRE(group.demandShiftedAt());
 }
 
-TEST_CASE("Missing counts of some ranks do not delay the search for a better map")
+TEST_CASE("With counts missing from some ranks, a switch starts within three windows")
 {
     const auto before = drawCounts(1);
     const auto after = drawCounts(2);
-    Group group(settledMap(before));
+    Group group(fittingMap(before));
     for (int i = 0; i < 3; ++i)
-        group.window(before);
+        group.addWindow(before);
     constexpr std::uint32_t answeringRanks = rankCount - 4;
     int windows = 0;
-    while (group.window(after, 1, answeringRanks) != SwitchEvent::Preparing)
+    while (group.addWindow(after, 1, answeringRanks) != SwitchEvent::Preparing)
         REQUIRE(++windows < 3);
 }
--- a/Tests/Version/ExpertMapCacheTest.cpp
+++ b/Tests/Version/ExpertMapCacheTest.cpp
@@ -29,7 +29,8 @@
     REQUIRE(second.value() == RankMap{{{0, 3}, {1, 2}}});
 }
 
-TEST_CASE("Changes to an unknown map, or that do not fit the base map, return an error")
+TEST_CASE(
+    "Changes to a map that is not cached, and changes that do not fit their base, are refused")
 {
     ExpertMapCache cache;
     REQUIRE(resolveMap(cache, profile, ranks, changesFrom(7, 8, {})).error().kind
--- a/Tests/Version/PlacementTest.cpp
+++ b/Tests/Version/PlacementTest.cpp
@@ -35,7 +35,7 @@
 {
     ExpertMap map;
     map.layers.assign(group.layers, initialLayerMap(group));
-    return startPlacement(group, map).value();
+    return initialPlacement(group, map).value();
 }
 
 /// Returns random loads with a heavy tail. Uses the engine without a distribution, because the
@@ -90,7 +90,7 @@
                     REQUIRE(checkLayerMap(group, *layer.next));
                     REQUIRE(layer.moves == countMoves(state.layers[layer.layer].map, *layer.next));
                 }
-                switchDone(state, decision, true);
+                endSwitch(state, decision, true);
             }
         }
     }
@@ -107,8 +107,8 @@
         const std::vector<double> loads = drawLoads(group.experts, engine);
         for (PlacementState *state : {&first, &second}) {
             reportAll(group, *state, loads, now);
-            switchDone(*state, decidePlacement(PlacementPolicy::CostAware, group, *state, now),
-                       true);
+            endSwitch(*state, decidePlacement(PlacementPolicy::CostAware, group, *state, now),
+                      true);
         }
         for (std::uint32_t layer = 0; layer < group.layers; ++layer)
             REQUIRE(first.layers[layer].map == second.layers[layer].map);
@@ -132,7 +132,7 @@
                 decidePlacement(PlacementPolicy::CostAware, group, state, now);
             for (const LayerDecision &layer : decision.layers)
                 switches[layer.layer] += layer.next ? 1 : 0;
-            switchDone(state, decision, true);
+            endSwitch(state, decision, true);
         }
         CHECK(switches == std::vector<int>(group.layers, 1));
     }
@@ -153,7 +153,7 @@
             expected[coldest] = 2.0;
         const TimePoint now = TimePoint() + report * interval;
         reportAll(group, state, addNoise(expected, 0.08, engine), now);
-        switchDone(state, decidePlacement(PlacementPolicy::CostAware, group, state, now), true);
+        endSwitch(state, decidePlacement(PlacementPolicy::CostAware, group, state, now), true);
     }
     CHECK(layerSkew(group, state.layers[0].map, expected) < 1.15);
 }
@@ -170,7 +170,7 @@
             group.ranks[3].speed = 0.5;
         const TimePoint now = TimePoint() + report * interval;
         reportAll(group, state, addNoise(loads, 0.02, engine), now);
-        switchDone(state, decidePlacement(PlacementPolicy::CostAware, group, state, now), true);
+        endSwitch(state, decidePlacement(PlacementPolicy::CostAware, group, state, now), true);
     }
     CHECK(layerSkew(group, state.layers[0].map, loads) < 1.1);
 }
@@ -201,7 +201,7 @@
                     }
                     REQUIRE(staged <= freeReplicas);
                 }
-                switchDone(state, decision, true);
+                endSwitch(state, decision, true);
             }
         }
     }
@@ -218,17 +218,17 @@
     reportAll(group, state, drawLoads(group.experts, engine), TimePoint());
     const PlacementDecision decision =
         decidePlacement(PlacementPolicy::Greedy, group, state, TimePoint());
-    REQUIRE(decision.moves());
+    REQUIRE(decision.hasNewMap());
     reportAll(group, state, drawLoads(group.experts, engine), TimePoint() + interval);
     const PlacementDecision second =
         decidePlacement(PlacementPolicy::Greedy, group, state, TimePoint() + interval);
-    CHECK_FALSE(second.moves());
+    CHECK_FALSE(second.hasNewMap());
     CHECK(second.layers[0].stayReason == StayReason::SwitchPending);
-    switchDone(state, decision, false);
+    endSwitch(state, decision, false);
     CHECK(state.layers[0].map == before.layers[0]);
     const PlacementDecision third =
         decidePlacement(PlacementPolicy::Greedy, group, state, TimePoint() + 2 * interval);
-    CHECK(third.moves());
+    CHECK(third.hasNewMap());
 }
 
 TEST_CASE("Invalid load reports are refused and leave the state unchanged")
