--- a/Source/Programs/Gateway/Gateway.cpp
+++ b/Source/Programs/Gateway/Gateway.cpp
@@ -39,7 +39,7 @@
 RetryQuota retryQuotaOf(const platform::ProcessSettings &settings)
 {
     return {.ratio = settings.retryRatio,
-            .baseRetries = settings.retrySlack,
+            .baseRetries = settings.baseRetries,
             .window = settings.retryWindow};
 }
 
@@ -99,20 +99,20 @@
     Result<void> run()
     {
         BOOST_OUTCOME_TRYV(Gateway::check(settings_));
-        BOOST_OUTCOME_TRYV(callers_.listen(*settings_.callers));
-        BOOST_OUTCOME_TRYV(readiness_.listen(*settings_.readiness));
-        if (settings_.metrics) {
-            BOOST_OUTCOME_TRYV(scrapes_.listen(*settings_.metrics));
+        BOOST_OUTCOME_TRYV(callers_.listen(*settings_.callerEndpoint));
+        BOOST_OUTCOME_TRYV(readiness_.listen(*settings_.readinessEndpoint));
+        if (settings_.metricsEndpoint) {
+            BOOST_OUTCOME_TRYV(scrapes_.listen(*settings_.metricsEndpoint));
         }
-        BOOST_OUTCOME_TRYV(peers_.open({settings_.vm.ip, settings_.firstInternalPort}));
+        BOOST_OUTCOME_TRYV(peers_.open({settings_.vmAddress.ip, settings_.firstInternalPort}));
         log_.info("process.start",
-                  {{"callers", toText(*settings_.callers)},
+                  {{"callers", toText(*settings_.callerEndpoint)},
                    {"domain", settings_.failureDomain},
-                   {"store", toText(settings_.store)}});
+                   {"store", toText(settings_.storeEndpoint)}});
         watchStore();
         directory_ = std::make_unique<GatewayDirectory>(
-            loop_, pool_, log_, metrics_, settings_.store, settings_.vmName,
-            Endpoint{settings_.vm.ip, settings_.firstInternalPort});
+            loop_, pool_, log_, metrics_, settings_.storeEndpoint, settings_.vmName,
+            Endpoint{settings_.vmAddress.ip, settings_.firstInternalPort});
         permits_ = std::make_unique<LimitPermits>(context_, peers_, *directory_);
         scheduleCheck();
         loop_.run();
@@ -124,9 +124,9 @@
     void watchStore()
     {
         configurationWatch_ = std::make_unique<StoreWatch>(
-            loop_, pool_, log_, metrics_, settings_.store,
+            loop_, pool_, log_, metrics_, settings_.storeEndpoint,
             WatchPlan{"configuration", platform::operatorTopic,
-                      configurationWait(settings_.configurationTime), milliseconds(0)},
+                      configurationWait(settings_.configurationApplyTime), milliseconds(0)},
             WatchEvents{.record = [this](const auto &record) { applyConfiguration(record); },
                         .snapshot =
                             [this](const auto &records) {
@@ -137,7 +137,7 @@
                         .confirmed = [this](TimePoint at) { context_.routesConfirmedAt = at; },
                         .upToDate = [](TimePoint) {}});
         backendsWatch_ = std::make_unique<StoreWatch>(
-            loop_, pool_, log_, metrics_, settings_.store,
+            loop_, pool_, log_, metrics_, settings_.storeEndpoint,
             WatchPlan{"backends", platform::backendsTopic, milliseconds(0),
                       backendsPollInterval(settings_.drainTime)},
             WatchEvents{
@@ -223,9 +223,9 @@
 
     void acceptCaller(int descriptor)
     {
-        const std::size_t maxSessions = settings_.openFiles > descriptorsKept
-            ? (settings_.openFiles - descriptorsKept) / 2
-            : settings_.openFiles / 2;
+        const std::size_t maxSessions = settings_.maxOpenFiles > descriptorsKept
+            ? (settings_.maxOpenFiles - descriptorsKept) / 2
+            : settings_.maxOpenFiles / 2;
         if (sessions_.size() >= maxSessions) {
             ::close(descriptor);
             log_.warn("caller.refused",
--- a/Source/Programs/Gateway/StoreWatch.cpp
+++ b/Source/Programs/Gateway/StoreWatch.cpp
@@ -93,9 +93,9 @@
     }
     succeeded();
     // The pages are no snapshot together: the log is read on from the smallest end seen.
-    newestEnd_ = std::min(newestEnd_.value_or(page.value().end), page.value().end);
+    newestEnd_ = std::min(newestEnd_.value_or(page.value().endOffset), page.value().endOffset);
     auto &records = page.value().records;
-    const bool more = page.value().more && !records.empty();
+    const bool more = page.value().hasMore && !records.empty();
     newest_.insert(newest_.end(), records.begin(), records.end());
     if (more) {
         readNewest();
@@ -123,10 +123,10 @@
         return;
     }
     succeeded();
-    next_ = page.value().next;
+    next_ = page.value().nextOffset;
     for (const platform::KeyedRecord &record : page.value().records)
         events_.record(record);
-    finishRead(next_ < page.value().end);
+    finishRead(next_ < page.value().endOffset);
 }
 
 void StoreWatch::finishRead(bool behind)
--- a/Source/Programs/RunProgram.h
+++ b/Source/Programs/RunProgram.h
@@ -68,7 +68,8 @@
     if (settings.has_error())
         return fail(settings.error());
     if (options.metricsPort != 0)
-        settings.value().metrics = Endpoint{settings.value().vm.ip, options.metricsPort};
+        settings.value().metricsEndpoint =
+            Endpoint{settings.value().vmAddress.ip, options.metricsPort};
     if (options.check) {
         const auto checked = Process::check(settings.value());
         if (checked.has_error())
--- a/Source/Programs/Sidecar/EngineClient.cpp
+++ b/Source/Programs/Sidecar/EngineClient.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-/// An engine answers a report within a few milliseconds; one across failure domains in some more.
+/// Timeout of a read. An engine answers within a few milliseconds, one in another failure domain
+/// within some more.
 constexpr milliseconds readTimeout{300};
 
-/// Hands a decoded answer on, or the error of the call.
+/// Wraps a callback: it gets the decoded answer, or the error of the call or of the decoding.
 template <typename Value, typename Decode>
 TimedCalls::Done decoded(std::function<void(Result<Value>)> done, Decode decode)
 {
@@ -52,8 +53,8 @@
                  monotonicNow());
 }
 
-void EngineClient::order(const Endpoint &engine, const RankOrder &order,
-                         std::function<void(Result<void>)> done)
+void EngineClient::sendOrder(const Endpoint &engine, const RankOrder &order,
+                             std::function<void(Result<void>)> done)
 {
     calls_.start(engine, platform::orderRequest(order), orderTimeout,
                  decoded<void>(std::move(done), platform::decodeOrderAnswer), monotonicNow());
--- a/Source/Programs/Sidecar/GroupLeader.cpp
+++ b/Source/Programs/Sidecar/GroupLeader.cpp
@@ -11,32 +11,32 @@
 
 namespace {
 
-/// Pause between two questions for the ranks' counts, at least. A shift of demand is seen that much
-/// later at most: each stream that is under way has one late event for it. It goes on during a
-/// switch, as counts of the time before a shift and after it in one sum lead to a map for neither.
-constexpr milliseconds countsPeriod{50};
-/// The same, as a share of the time in which the answers of all ranks come in: a question that
-/// overtakes the one before splits its answers.
-constexpr double countsPeriodShare = 0.75;
-/// Time for which answers to one question may come in later than reckoned.
-constexpr milliseconds countsDelay{10};
-/// Pause between two polls of the ranks: what is known of them stays fresh although one answer is
-/// lost.
+/// Minimum interval between two requests for the ranks' counts. A shift of demand is detected at
+/// most this much later, which costs each running stream one late event. Requests continue during a
+/// switch, because a sum of counts from before and after a shift leads to a map that fits neither.
+constexpr milliseconds minCountsPeriod{50};
+/// Minimum interval as a fraction of the time in which the replies of all ranks arrive: a request
+/// that overtakes the one before splits its replies into two sums.
+constexpr double countsPeriodFraction = 0.75;
+/// Allowance for replies to one request that arrive later than estimated.
+constexpr milliseconds countsLateness{10};
+/// Interval between two polls of the ranks. A status stays current although one reply is lost.
 constexpr milliseconds pollPeriod{200};
-/// The same while a switch is under way; sidecars also tell of each change by themselves. It grows
-/// with the ranks beyond so many, as decoding the answers takes the leader's share of a core.
+/// The same during a switch; sidecars also report each change on their own initiative. It grows
+/// with the ranks beyond the number below, because decoding the replies uses up the leader's share
+/// of a core.
 constexpr milliseconds pollPeriodSwitching{60};
-constexpr std::size_t ranksPolledOften = 16;
-/// A rank whose sidecar has not answered for this long is asked itself: a group may be held by the
-/// rank beside a sidecar that is gone.
-constexpr milliseconds silentAfter{500};
-/// Pause between two rounds of such questions; each is priced.
+constexpr std::size_t ranksAtFullPollRate = 16;
+/// After this time without a message from a sidecar the leader reads the rank's state directly from
+/// the engine: the rank beside a dead sidecar may hold the group.
+constexpr milliseconds silenceTimeout{500};
+/// Interval between two rounds of such reads; the platform charges for each.
 constexpr milliseconds directReadPeriod{400};
-/// Engines that are asked in one round. A leader that was itself behind took all others for silent:
-/// connections to each of them kept it busy for a second, and hardly one was answered in time.
-constexpr std::size_t directReadsAtOnce = 8;
-/// The ticks of versions begin at this moment and come ten a second. With the ranks of each tick,
-/// versions stay below 2^53 for millennia, so that numbers in JSON hold them.
+/// Engines that are read in one round. A leader that is itself overloaded considers all others
+/// silent: connections to each of them keep it busy for a second, and few are answered in time.
+constexpr std::size_t maxDirectReads = 8;
+/// Ticks of map versions count tenths of a second since this Unix time. With the ranks of each
+/// tick, versions stay below 2^53 for millennia, so that JSON numbers represent them exactly.
 constexpr seconds versionEpoch{1'700'000'000};
 constexpr milliseconds versionTick{100};
 
@@ -46,7 +46,7 @@
     return since > milliseconds(0) ? static_cast<std::uint64_t>(since / versionTick) : 1;
 }
 
-/// Ranks that get the same message.
+/// Engines whose sidecars get the same message.
 struct Batch
 {
     const SwitchAction *first = nullptr;
@@ -59,7 +59,7 @@
         && a.order.pass == b.order.pass && a.asChanges == b.asChanges;
 }
 
-/// For how long a phase of the present switch lasted so far, in milliseconds.
+/// Time that the current switch spent in a phase, up to its last change of phase, in milliseconds.
 std::int64_t phaseTime(const GroupSwitch &group, SwitchPhase phase)
 {
     return group.phaseTimes.at(static_cast<std::size_t>(phase)).count();
@@ -80,9 +80,9 @@
     profile_ = profile;
     const std::size_t bytes = encodedCountsBytes(std::size_t{profile.sets} * profile.expertsPerSet);
     const milliseconds gathered = gatherTime(engines.size(), bytes, bandwidth_);
-    timing_.countsWindow = gathered + countsDelay;
+    timing_.countsWindow = gathered + countsLateness;
     countsPeriod_ = std::max(
-        countsPeriod, std::chrono::duration_cast<milliseconds>(gathered * countsPeriodShare));
+        minCountsPeriod, std::chrono::duration_cast<milliseconds>(gathered * countsPeriodFraction));
 }
 
 void GroupLeader::applyStatus(const RankStatus &status, TimePoint now)
@@ -103,8 +103,8 @@
 
 void GroupLeader::work(TimePoint now)
 {
-    if (leadsSince_ == TimePoint())
-        leadsSince_ = now;
+    if (leadingSince_ == TimePoint())
+        leadingSince_ = now;
     poll(now);
     readSilentRanks(now);
     decide(now);
@@ -121,7 +121,7 @@
     for (auto &[name, group] : groups_)
         resetRanks(group);
     lastReceivedAt_.clear();
-    leadsSince_ = TimePoint();
+    leadingSince_ = TimePoint();
 }
 
 void GroupLeader::poll(TimePoint now)
@@ -139,8 +139,8 @@
                                   [](const auto &entry) { return switching(entry.second); });
     if (!busy)
         return pollPeriod;
-    const auto share = static_cast<int>(members_.size() / ranksPolledOften);
-    return std::min(pollPeriodSwitching * std::max(1, share), pollPeriod);
+    const auto periodFactor = static_cast<int>(members_.size() / ranksAtFullPollRate);
+    return std::min(pollPeriodSwitching * std::max(1, periodFactor), pollPeriod);
 }
 
 void GroupLeader::pollRanks(TimePoint now)
@@ -156,7 +156,8 @@
     transport_.sendAll(members_, poll);
 }
 
-/// Puts the engines first that are surely there: they may have to pass messages on.
+/// Sorts the engines by the time of the last message, newest first: the first ones are chosen as
+/// relays, so they should be alive.
 std::vector<Endpoint> GroupLeader::mostRecentFirst(std::vector<Endpoint> engines) const
 {
     const auto lastReceivedAt = [this](const Endpoint &engine) {
@@ -176,7 +177,8 @@
         std::find_if(group.ranks.begin(), group.ranks.end(), [this](const auto &entry) {
             return entry.second.status.engine == ownEngine_;
         });
-    // Versions and holders are told apart by the rank beside the leader.
+    // Versions and holders are identified by the leader's own rank, so without it nothing is
+    // decided.
     if (own == group.ranks.end())
         return;
     const SwitchUpdate update =
@@ -184,10 +186,10 @@
                       {.rank = own->first, .versionTick = versionTickNow()}, now);
     if (update.event != SwitchEvent::Nothing)
         logEvent(group, update.event, now);
-    carryOut(group.group, update.actions);
+    executeActions(group.group, update.actions);
 }
 
-void GroupLeader::carryOut(const std::string &name, const std::vector<SwitchAction> &actions)
+void GroupLeader::executeActions(const std::string &name, const std::vector<SwitchAction> &actions)
 {
     std::vector<Batch> batches;
     for (const SwitchAction &action : actions) {
@@ -215,7 +217,7 @@
                {"version", action.order.version},
                {"step", action.order.pass}});
     const RankOrder order = commandFor(name, action).order;
-    engines_.order(action.engine, order, [this, name, action](Result<void> result) {
+    engines_.sendOrder(action.engine, order, [this, name, action](Result<void> result) {
         const auto group = groups_.find(name);
         if (result.has_error()) {
             log_.info("map.direct_order_failed",
@@ -245,18 +247,18 @@
 
 void GroupLeader::readSilentRanks(TimePoint now)
 {
-    if (now - leadsSince_ < silentAfter || now - directRoundAt_ < directReadPeriod)
+    if (now - leadingSince_ < silenceTimeout || now - directReadRoundAt_ < directReadPeriod)
         return;
-    directRoundAt_ = now;
+    directReadRoundAt_ = now;
     std::vector<Endpoint> silent = silentEngines(now);
     noteReachability(silent.size());
-    const std::size_t asked = std::min(silent.size(), directReadsAtOnce);
-    // Each in its turn, so that one that never answers does not keep the others waiting.
-    const auto askedBefore = [this](const Endpoint &a, const Endpoint &b) {
+    const std::size_t readCount = std::min(silent.size(), maxDirectReads);
+    // The least recently read come first, so that engines that never answer don't block the others.
+    const auto readEarlier = [this](const Endpoint &a, const Endpoint &b) {
         return readDirectlyAt_[a] < readDirectlyAt_[b];
     };
-    std::stable_sort(silent.begin(), silent.end(), askedBefore);
-    for (std::size_t i = 0; i < asked; ++i) {
+    std::stable_sort(silent.begin(), silent.end(), readEarlier);
+    for (std::size_t i = 0; i < readCount; ++i) {
         readDirectlyAt_[silent[i]] = now;
         readDirectly(silent[i]);
     }
@@ -267,14 +269,14 @@
     std::vector<Endpoint> silent;
     for (const Endpoint &engine : members_) {
         const auto received = lastReceivedAt_.find(engine);
-        if (received == lastReceivedAt_.end() || now - received->second > silentAfter)
+        if (received == lastReceivedAt_.end() || now - received->second > silenceTimeout)
             silent.push_back(engine);
     }
     return silent;
 }
 
-/// Tells when the leader begins and ceases to hear fewer than half of the ranks: it is then its own
-/// link or processor that is behind, or all others have stopped.
+/// Logs when more than half of the sidecars become silent, and when they no longer are. While they
+/// are, the leader's own link or processor is overloaded, or all other sidecars have stopped.
 void GroupLeader::noteReachability(std::size_t silent)
 {
     const bool isolated = silent > members_.size() / 2;
--- a/Source/Programs/Sidecar/GroupLeader.h
+++ b/Source/Programs/Sidecar/GroupLeader.h
@@ -13,37 +13,42 @@
 
 namespace wisteria {
 
-/// How the leader reaches the sidecars of the service's engines.
+/// Callbacks by which the leader sends to the sidecars of the service's engines.
 struct LeaderTransport
 {
-    /// Sends a message to the sidecars on the engines' VMs; the own one may be among them.
+    /// Sends a message to the sidecars on the engines' VMs, which may include this sidecar.
     std::function<void(const std::vector<Endpoint> &engines, const GroupMessage &message)> sendAll;
-    /// Asks for the counts of the engines' ranks, in as many sums as the link of this VM bears.
-    /// The ones heard of last come first.
+    /// Requests the counts of the engines' ranks, summed by relays on the way so that the replies
+    /// fit the bandwidth of this VM's link.
+    /// @param engines Those from which a message arrived most recently come first.
     std::function<void(const std::vector<Endpoint> &engines)> requestCounts;
 };
 
-/// The work of the sidecar that leads its service's groups: polls the ranks, decides on new maps
-/// and carries switches through.
+/// Polls the ranks of a service's groups, decides on new expert maps and drives the switches to
+/// them. Used by the sidecar that leads the service.
 class GroupLeader
 {
 public:
     GroupLeader(EngineClient &engines, EventLog &log, Metrics &metrics, LeaderTransport transport,
                 const LinkBandwidth &bandwidth, Endpoint ownEngine);
 
-    /// The engines of the service, as the gateways name them.
+    /// Sets the engines of the service, as listed by the gateways.
     void setEngines(const std::vector<Endpoint> &engines, const ExpertProfile &profile);
 
+    /// Stores a rank's status report.
     void applyStatus(const RankStatus &status, TimePoint now);
+    /// Adds the ranks' expert counts to the demand of their group; ignored for an unknown group.
     void applyCounts(const CountsReply &reply, TimePoint now);
 
-    /// Polls and decides; called often while it leads.
+    /// Sends the polls that are due and advances all switches; called every few milliseconds while
+    /// this sidecar leads.
     void work(TimePoint now);
 
-    /// Decides on what has come in.
+    /// Advances the switches of all groups by the state received so far.
     void decide(TimePoint now);
 
-    /// Forgets everything: another one leads.
+    /// Drops the state of the groups because another sidecar leads, except for their epochs,
+    /// highest versions and last held passes.
     void stop();
 
 private:
@@ -52,7 +57,7 @@
     milliseconds rankPollPeriod() const;
     std::vector<Endpoint> mostRecentFirst(std::vector<Endpoint> engines) const;
     void advance(GroupSwitch &group, TimePoint now);
-    void carryOut(const std::string &name, const std::vector<SwitchAction> &actions);
+    void executeActions(const std::string &name, const std::vector<SwitchAction> &actions);
     void orderDirectly(const std::string &name, const SwitchAction &action);
     RankCommand commandFor(const std::string &name, const SwitchAction &action) const;
     void readSilentRanks(TimePoint now);
@@ -68,7 +73,7 @@
     LeaderTransport transport_;
     LinkBandwidth bandwidth_;
     Endpoint ownEngine_;
-    /// Pause between two questions for the ranks' counts.
+    /// Interval between two requests for the ranks' counts.
     milliseconds countsPeriod_{0};
     std::vector<Endpoint> members_;
     ExpertProfile profile_;
@@ -77,11 +82,11 @@
     std::map<std::string, GroupSwitch> groups_;
     std::map<Endpoint, TimePoint> lastReceivedAt_;
     std::map<Endpoint, TimePoint> readDirectlyAt_;
-    TimePoint directRoundAt_;
+    TimePoint directReadRoundAt_;
     bool isolated_ = false;
     TimePoint polledRanksAt_;
     TimePoint requestedCountsAt_;
-    TimePoint leadsSince_;
+    TimePoint leadingSince_;
 };
 
 } // namespace wisteria
--- a/Source/Programs/Sidecar/Main.cpp
+++ b/Source/Programs/Sidecar/Main.cpp
@@ -4,5 +4,7 @@
 int main(int argc, char **argv)
 {
     return wisteria::runProgram<wisteria::Sidecar>(
-        {"wisteria-sidecar", "Keeps the rank of one model engine and tells its load."}, argc, argv);
+        {"wisteria-sidecar",
+         "Reports the load of one model engine and executes the orders for its rank."},
+        argc, argv);
 }
--- a/Source/Programs/Sidecar/RankOrderExecutor.cpp
+++ b/Source/Programs/Sidecar/RankOrderExecutor.cpp
@@ -18,18 +18,19 @@
 } // namespace
 
 RankOrderExecutor::RankOrderExecutor(EngineClient &engines, EventLog &log, Metrics &metrics,
-                                     Endpoint engine, std::function<void()> ended)
-    : engines_(engines), log_(log), metrics_(metrics), engine_(engine), ended_(std::move(ended))
+                                     Endpoint engine, std::function<void()> completed)
+    : engines_(engines), log_(log), metrics_(metrics), engine_(engine),
+      completed_(std::move(completed))
 { }
 
 void RankOrderExecutor::execute(const RankCommand &command, const Endpoint &leader,
                                 const ExpertProfile &profile, std::size_t groupSize)
 {
     RankOrder order = command.order;
-    const bool underWay =
+    const bool isInProgress =
         std::any_of(inProgress_.begin(), inProgress_.end(),
                     [&order](const RankOrder &other) { return sameOrder(other, order); });
-    if (underWay)
+    if (isInProgress)
         return;
     if (order.kind == RankOrderKind::Prepare) {
         auto map = resolveMap(mapCache_, profile, groupSize, command);
@@ -46,21 +47,22 @@
     send(order, leader, 0);
 }
 
-/// Gives an order, and again while it gets no answer.
+/// Sends an order, and resends it while the engine does not answer in time.
 void RankOrderExecutor::send(const RankOrder &order, const Endpoint &leader, int attemptsDone)
 {
-    engines_.order(engine_, order, [this, order, leader, attemptsDone](const Result<void> &result) {
-        const bool unanswered = result.has_error() && result.error().kind == ErrorKind::Timeout;
-        if (unanswered && shouldResend(attemptsDone + 1)) {
-            send(order, leader, attemptsDone + 1);
-            return;
-        }
-        end(order, leader, result);
-    });
+    engines_.sendOrder(
+        engine_, order, [this, order, leader, attemptsDone](const Result<void> &result) {
+            const bool unanswered = result.has_error() && result.error().kind == ErrorKind::Timeout;
+            if (unanswered && shouldResend(attemptsDone + 1)) {
+                send(order, leader, attemptsDone + 1);
+                return;
+            }
+            finish(order, leader, result);
+        });
 }
 
-void RankOrderExecutor::end(const RankOrder &order, const Endpoint &leader,
-                            const Result<void> &result)
+void RankOrderExecutor::finish(const RankOrder &order, const Endpoint &leader,
+                               const Result<void> &result)
 {
     std::erase_if(inProgress_,
                   [&order](const RankOrder &other) { return sameOrder(other, order); });
@@ -73,9 +75,9 @@
                    {"leader", toText(leader)},
                    {"reason", result.error().message}});
     } else if (order.kind == RankOrderKind::Prepare) {
-        accepted_ = order.version;
+        acceptedVersion_ = order.version;
     }
-    ended_();
+    completed_();
 }
 
 } // namespace wisteria
--- a/Source/Programs/Sidecar/RankOrderExecutor.h
+++ b/Source/Programs/Sidecar/RankOrderExecutor.h
@@ -11,42 +11,44 @@
 
 namespace wisteria {
 
-/// Gives the orders of a group's leader to the engine beside the sidecar.
+/// Sends the orders of a group's leader to the engine on the same VM.
 class RankOrderExecutor
 {
 public:
-    /// @param ended Called when an order is done or has failed, as the engine's state may differ.
+    /// @param completed Called when an order has succeeded or failed: the engine's state may have
+    /// changed.
     RankOrderExecutor(EngineClient &engines, EventLog &log, Metrics &metrics, Endpoint engine,
-                      std::function<void()> ended);
+                      std::function<void()> completed);
 
-    /// Takes a leader's command; one that is under way already is left at that.
+    /// Sends a leader's order to the engine, with retries. Ignores an order that is already in
+    /// progress, and logs and drops a Prepare whose map can't be resolved.
     void execute(const RankCommand &command, const Endpoint &leader, const ExpertProfile &profile,
                  std::size_t groupSize);
 
-    /// Notes the version in force at the engine.
+    /// Records the map version in force at the engine.
     void noteInForce(std::uint64_t version) { mapCache_.inForce = version; }
 
-    /// Whether changes may go on from the map of a version.
+    /// Whether the whole map of a version is known, so that a command may send changes to it.
     bool hasMapOf(std::uint64_t version, const ExpertProfile &profile) const
     {
         return hasMap(mapCache_, profile, version);
     }
 
-    /// Version of the last order to prepare that the engine took; 0 for none.
-    std::uint64_t accepted() const { return accepted_; }
+    /// Map version of the last Prepare that the engine accepted; 0 for none.
+    std::uint64_t acceptedVersion() const { return acceptedVersion_; }
 
 private:
     void send(const RankOrder &order, const Endpoint &leader, int attemptsDone);
-    void end(const RankOrder &order, const Endpoint &leader, const Result<void> &result);
+    void finish(const RankOrder &order, const Endpoint &leader, const Result<void> &result);
 
     EngineClient &engines_;
     EventLog &log_;
     Metrics &metrics_;
     Endpoint engine_;
-    std::function<void()> ended_;
+    std::function<void()> completed_;
     ExpertMapCache mapCache_;
     std::vector<RankOrder> inProgress_;
-    std::uint64_t accepted_ = 0;
+    std::uint64_t acceptedVersion_ = 0;
 };
 
 } // namespace wisteria
--- a/Source/Programs/Sidecar/Sidecar.cpp
+++ b/Source/Programs/Sidecar/Sidecar.cpp
@@ -24,20 +24,21 @@
 
 namespace {
 
-/// Period of the process' own checks.
+/// Interval of tick().
 constexpr milliseconds tickPeriod{25};
-/// Pause between two reports of the engine.
+/// Interval between two reads of the engine's report.
 constexpr milliseconds reportPeriod{loadReportInterval};
-/// The same while the rank takes part in a switch of maps.
+/// The same while the rank takes part in a switch of expert maps.
 constexpr milliseconds reportPeriodSwitching{25};
-/// A gateway that has not been heard of for this long gets no more loads: three of its hellos.
-constexpr milliseconds gatewayLifetime{2000};
-/// Time for which the leader collects what comes in before it decides.
-constexpr milliseconds decisionPause{2};
-/// How long an order keeps the reports frequent.
-constexpr milliseconds orderAttention{400};
-
-/// What of a rank's state the leader waits for.
+/// A gateway gets no more load reports after this time without a hello from it, which is longer
+/// than three of its hello intervals.
+constexpr milliseconds gatewayTimeout{2000};
+/// Time for which the leader collects messages before it decides.
+constexpr milliseconds decisionDelay{2};
+/// Time after an order during which the report is read at the shorter interval.
+constexpr milliseconds frequentReportsAfterOrder{400};
+
+/// Whether two reports are equal in all fields on which the leader's switch decisions depend.
 bool sameSwitchState(const RankReport &a, const RankReport &b)
 {
     return a.epoch == b.epoch && a.map == b.map && a.prepared == b.prepared && a.armed == b.armed
@@ -56,7 +57,7 @@
           log_(settings_.vmName, log), pool_(loop_), engines_(pool_),
           socket_(loop_,
                   [this](const Endpoint &from, std::string_view bytes) { receive(from, bytes); }),
-          scrapes_(loop_, [this](const HttpRequest &request) {
+          metricsListener_(loop_, [this](const HttpRequest &request) {
               return answerScraper(request, [this] { return metricsText(); });
           })
     { }
@@ -64,12 +65,12 @@
     Result<void> run()
     {
         BOOST_OUTCOME_TRYV(Sidecar::check(settings_));
-        engine_ = *settings_.engine;
+        engine_ = *settings_.engineEndpoint;
         port_ = settings_.firstInternalPort;
         bandwidth_ = linkBandwidthOf(settings_.linkMegabitsPerSecond);
-        BOOST_OUTCOME_TRYV(socket_.open({settings_.vm.ip, port_}));
-        if (settings_.metrics) {
-            BOOST_OUTCOME_TRYV(scrapes_.listen(*settings_.metrics));
+        BOOST_OUTCOME_TRYV(socket_.open({settings_.vmAddress.ip, port_}));
+        if (settings_.metricsEndpoint) {
+            BOOST_OUTCOME_TRYV(metricsListener_.listen(*settings_.metricsEndpoint));
         }
         election_.since = monotonicNow();
         leader_ = std::make_unique<GroupLeader>(
@@ -80,8 +81,8 @@
                 .requestCounts =
                     [this](const std::vector<Endpoint> &engines) { requestCounts(engines); }},
             bandwidth_, engine_);
-        orders_ = std::make_unique<RankOrderExecutor>(engines_, log_, metrics_, engine_,
-                                                      [this] { readReport(); });
+        orderExecutor_ = std::make_unique<RankOrderExecutor>(engines_, log_, metrics_, engine_,
+                                                             [this] { readReport(); });
         log_.info("process.start", {{"engine", toText(engine_)}, {"port", port_}});
         readReport();
         scheduleTick();
@@ -93,7 +94,7 @@
 private:
     std::string metricsText()
     {
-        SidecarState state{.reportAge = remaining(appliedAt_, monotonicNow()),
+        SidecarState state{.reportAge = remaining(appliedReadBegunAt_, monotonicNow()),
                            .leading = leading_,
                            .gateways = gateways_.size(),
                            .droppedLogLines = log_.dropped()};
@@ -103,7 +104,7 @@
         return metrics_.text();
     }
 
-    /// Nothing of a sidecar's settings may change while it runs; the line tells that it was asked.
+    /// Handles SIGHUP: only logs it, because a sidecar can't change its settings while it runs.
     void reload() { log_.info("process.reload", {{"engine", toText(engine_)}}); }
 
     void scheduleTick()
@@ -118,46 +119,49 @@
     {
         engines_.checkTimeouts(now);
         pool_.closeExpired(now);
-        const bool attentive = now < attentiveUntil_;
-        if (!reading_ && now - readAt_ >= (attentive ? reportPeriodSwitching : reportPeriod))
+        const bool frequent = now < frequentReportsUntil_;
+        if (!readingReport_
+            && now - readBegunAt_ >= (frequent ? reportPeriodSwitching : reportPeriod))
             readReport();
         std::erase_if(gateways_,
-                      [now](const auto &entry) { return now - entry.second > gatewayLifetime; });
-        tellDueCounts(now);
-        lead(now);
+                      [now](const auto &entry) { return now - entry.second > gatewayTimeout; });
+        sendDueCounts(now);
+        updateLeadership(now);
     }
 
-    void lead(TimePoint now)
+    /// Begins or ends to lead as the election says, and does the leader's work that is due.
+    void updateLeadership(TimePoint now)
     {
         const auto position = std::find(members().begin(), members().end(), engine_);
-        const bool should = position != members().end()
+        const bool shouldLead = position != members().end()
             && isLeader(election_, static_cast<std::size_t>(position - members().begin()), now);
-        if (should != leading_)
-            log_.info(should ? "leader.begin" : "leader.end", {{"members", members().size()}});
-        if (leading_ && !should)
+        if (shouldLead != leading_)
+            log_.info(shouldLead ? "leader.begin" : "leader.end", {{"members", members().size()}});
+        if (leading_ && !shouldLead)
             leader_->stop();
-        leading_ = should;
+        leading_ = shouldLead;
         if (leading_)
             leader_->work(now);
     }
 
     void readReport()
     {
-        reading_ = true;
-        readAt_ = monotonicNow();
-        engines_.readReport(engine_, [this, begunAt = readAt_](Result<RankReport> report) {
-            reading_ = false;
+        readingReport_ = true;
+        readBegunAt_ = monotonicNow();
+        engines_.readReport(engine_, [this, begunAt = readBegunAt_](Result<RankReport> report) {
+            readingReport_ = false;
             if (report.has_error()) {
-                noteEngine(false, report.error().message);
-                tellGateways(awayLoad());
+                noteEngineState(false, report.error().message);
+                sendLoad(unavailableLoad());
                 return;
             }
-            noteEngine(true, "");
+            noteEngineState(true, "");
             applyReport(report.value(), begunAt);
         });
     }
 
-    void noteEngine(bool answers, const std::string &reason)
+    /// Logs when the engine stops or resumes answering.
+    void noteEngineState(bool answers, const std::string &reason)
     {
         if (answers == engineAnswers_)
             return;
@@ -165,45 +169,48 @@
         log_.info(answers ? "engine.regained" : "engine.lost", {{"reason", reason}});
     }
 
-    /// @param begunAt When the reading began. Two readings may end in the other order, and the one
-    /// that began first must not replace the other: it can show the rank as it was before an order.
+    /// Sends a report to the gateways, and to the leader when it differs from the one before.
+    /// @param begunAt When the read began. Two reads may complete out of order; the one that began
+    /// first is then dropped, as it may show the rank's state before an order.
     void applyReport(const RankReport &report, TimePoint begunAt)
     {
-        if (begunAt < appliedAt_)
+        if (begunAt < appliedReadBegunAt_)
             return;
-        appliedAt_ = begunAt;
+        appliedReadBegunAt_ = begunAt;
         noteHold(election_, report.heldPass.has_value(), begunAt);
         const bool changed = !status_ || !sameSwitchState(status_->report, report)
-            || status_->accepted != orders_->accepted();
+            || status_->accepted != orderExecutor_->acceptedVersion();
         const bool newMap = !status_ || status_->report.map != report.map
             || status_->report.epoch != report.epoch || status_->experts.empty();
-        RankStatus status{.engine = engine_, .report = report, .accepted = orders_->accepted()};
+        RankStatus status{
+            .engine = engine_, .report = report, .accepted = orderExecutor_->acceptedVersion()};
         status.readAtMilliseconds = static_cast<std::uint64_t>(
             std::chrono::duration_cast<milliseconds>(begunAt.time_since_epoch()).count());
-        orders_->noteInForce(report.map);
-        status.mapKnown = orders_->hasMapOf(report.map, profile());
+        orderExecutor_->noteInForce(report.map);
+        status.mapKnown = orderExecutor_->hasMapOf(report.map, profile());
         if (!newMap)
             status.experts = status_->experts;
         status_ = status;
-        tellGateways(loadFrom(report));
+        sendLoad(loadFrom(report));
         if (newMap && report.groupSize > 0 && !readingExperts_)
             readExperts(report);
         if (changed)
-            tellLeader(status);
+            sendStatusToLeader(status);
     }
 
-    void readExperts(const RankReport &of)
+    /// Reads the experts of a report's map. Drops the result when the map has changed meanwhile.
+    void readExperts(const RankReport &report)
     {
         readingExperts_ = true;
-        engines_.readExperts(engine_, [this, of](auto experts) {
+        engines_.readExperts(engine_, [this, report](auto experts) {
             readingExperts_ = false;
-            const bool same =
-                status_ && status_->report.map == of.map && status_->report.epoch == of.epoch;
+            const bool same = status_ && status_->report.map == report.map
+                && status_->report.epoch == report.epoch;
             if (experts.has_error() || !same)
                 return;
             status_->experts = experts.value();
-            if (!leaderKnowsMap(of.map))
-                tellLeader(*status_);
+            if (!leaderHasMap(report.map))
+                sendStatusToLeader(*status_);
         });
     }
 
@@ -217,15 +224,16 @@
                 .gateways = static_cast<std::uint32_t>(gateways_.size())};
     }
 
-    /// Of an engine that does not answer, as while it starts.
-    EngineLoad awayLoad() const
+    /// The load reported for an engine that does not answer, such as one that is starting.
+    EngineLoad unavailableLoad() const
     {
         return {.engine = engine_,
                 .open = false,
                 .gateways = static_cast<std::uint32_t>(gateways_.size())};
     }
 
-    void tellGateways(const EngineLoad &load)
+    /// Sends the engine's load to all gateways when a report is due.
+    void sendLoad(const EngineLoad &load)
     {
         const TimePoint now = monotonicNow();
         if (!shouldReport(sentLoad_, load, now))
@@ -236,24 +244,27 @@
             socket_.send(gateway, bytes);
     }
 
-    void tellLeader(const RankStatus &status)
+    /// Applies the status here when this sidecar leads; otherwise sends it to the last known
+    /// leader.
+    void sendStatusToLeader(const RankStatus &status)
     {
         if (leading_)
             applyAsLeader(status);
         else if (leaderAddress_)
-            tellStatus(*leaderAddress_, status);
+            sendStatus(*leaderAddress_, status);
     }
 
-    void tellStatus(const Endpoint &leader, RankStatus status)
+    /// Sends a status, without the experts when the leader has the map that they follow from.
+    void sendStatus(const Endpoint &leader, RankStatus status)
     {
-        if (leaderKnowsMap(status.report.map))
+        if (leaderHasMap(status.report.map))
             status.experts.clear();
         socket_.send(leader, encodeMessage(status));
     }
 
-    bool leaderKnowsMap(std::uint64_t version) const
+    bool leaderHasMap(std::uint64_t version) const
     {
-        return std::find(leaderKnows_.begin(), leaderKnows_.end(), version) != leaderKnows_.end();
+        return std::find(leaderMaps_.begin(), leaderMaps_.end(), version) != leaderMaps_.end();
     }
 
     void applyAsLeader(const RankStatus &status)
@@ -268,22 +279,23 @@
         decideSoon();
     }
 
-    /// Decides once on all that comes in at about the same time: each decision goes over all ranks,
-    /// and the answers of all ranks come at the same time.
+    /// Schedules one decision for all messages that arrive at about the same time: each decision
+    /// visits all ranks, and the replies of all ranks arrive together.
     void decideSoon()
     {
         if (decidingSoon_)
             return;
         decidingSoon_ = true;
-        loop_.runAfter(decisionPause, [this] {
+        loop_.runAfter(decisionDelay, [this] {
             decidingSoon_ = false;
             if (leading_)
                 leader_->decide(monotonicNow());
         });
     }
 
-    /// Sends one message to the sidecars beside many engines, to itself without the network. It is
-    /// encoded once: for each rank by itself, a map would take the leader of a large group seconds.
+    /// Sends one message to the sidecars beside many engines, and handles it here without the
+    /// network when this sidecar is among them. It is encoded once: to encode a map for each rank
+    /// would take the leader of a large group seconds.
     void sendToAll(const std::vector<Endpoint> &engines, const GroupMessage &message)
     {
         const std::string bytes = encodeMessage(message);
@@ -297,17 +309,17 @@
         relay(others, bytes);
     }
 
-    /// Sends an encoded message to sidecars, through relays where it is large.
+    /// Sends an encoded message to sidecars, through relays when the message is large.
     void relay(const std::vector<Endpoint> &engines, const std::string &bytes)
     {
         for (const RelayBranch &branch : relayPlan(engines, bytes.size(), bandwidth_)) {
-            const std::string whole =
+            const std::string datagram =
                 branch.rest.empty() ? bytes : encodeMessage(RelayedMessage{branch.rest, bytes});
-            socket_.send({branch.first.ip, port_}, whole);
+            socket_.send({branch.first.ip, port_}, datagram);
         }
     }
 
-    /// Passes a message on and takes it as if it had come from its sender directly.
+    /// Forwards a relayed message and handles it as a message from the sender of the datagram.
     void apply(const Endpoint &from, const RelayedMessage &relayed)
     {
         const auto message = decodeMessage(relayed.message);
@@ -336,12 +348,14 @@
         std::visit([this, &from](const auto &fields) { apply(from, fields); }, message);
     }
 
+    /// Records that the gateway is alive, sends the load to a new one, and requests the engine list
+    /// when the hello names another one.
     void apply(const Endpoint &from, const GatewayHello &hello)
     {
         const bool isNew = gateways_.insert_or_assign(from, monotonicNow()).second;
-        // It sends nothing here before the first report.
+        // A new gateway sends no requests here before the first load report.
         if (isNew && !engineAnswers_)
-            socket_.send(from, encodeMessage(awayLoad()));
+            socket_.send(from, encodeMessage(unavailableLoad()));
         else if (isNew && status_)
             socket_.send(from, encodeMessage(loadFrom(status_->report)));
         if (!shouldRequestList(listCache_, hello.listDigest, monotonicNow()))
@@ -350,13 +364,14 @@
         socket_.send(from, encodeMessage(EngineListRequest{}));
     }
 
+    /// Sent by sidecars only.
     void apply(const Endpoint &, const EngineListRequest &) { }
 
     void apply(const Endpoint &, const EngineList &list)
     {
         const bool wasMember = isMember();
         setList(listCache_, list);
-        // A new member listens for the present leader before it thinks of leading itself.
+        // A new member waits for polls of a current leader before it may lead.
         if (!wasMember && isMember())
             election_.since = monotonicNow();
         leader_->setEngines(listCache_.list.engines, listCache_.list.profile);
@@ -371,8 +386,10 @@
         return std::binary_search(members().begin(), members().end(), engine_);
     }
 
+    /// Sent by sidecars to gateways only.
     void apply(const Endpoint &, const EngineLoad &) { }
 
+    /// Sent between gateways only, like the reply below.
     void apply(const Endpoint &, const PermitRequestMessage &) { }
 
     void apply(const Endpoint &, const PermitReplyMessage &) { }
@@ -380,6 +397,7 @@
     void apply(const Endpoint &from, const RankPoll &poll)
     {
         const TimePoint now = monotonicNow();
+        // The list of members is sorted by address, and the first live one leads.
         const bool own = from.ip == engine_.ip;
         if (!own && from.ip < engine_.ip)
             noteHigherPriorityLeader(election_, now);
@@ -389,14 +407,14 @@
         }
         if (!status_)
             return;
-        leaderKnows_ = poll.knownMaps;
+        leaderMaps_ = poll.knownMaps;
         if (own)
             applyAsLeader(*status_);
         else
-            tellStatus(from, *status_);
+            sendStatus(from, *status_);
     }
 
-    /// Asks for the counts of the engines' ranks, in as many sums as the link bears.
+    /// Requests the counts of the engines' ranks, in as many sums as fit the link's bandwidth.
     void requestCounts(const std::vector<Endpoint> &engines)
     {
         std::vector<Endpoint> others = engines;
@@ -405,7 +423,7 @@
         requestFromBranches(others);
     }
 
-    /// @return Sidecars that were asked, each for one sum.
+    /// @return Number of sidecars that were asked for one sum each.
     std::size_t requestFromBranches(const std::vector<Endpoint> &engines)
     {
         const auto plan = relayPlan(engines, countsBytes(), bandwidth_);
@@ -414,12 +432,13 @@
         return plan.size();
     }
 
+    /// Size of one reply with the counts of all experts.
     std::size_t countsBytes() const
     {
         return encodedCountsBytes(std::size_t{profile().sets} * profile().expertsPerSet);
     }
 
-    /// To the sidecar beside an engine, to itself without the network.
+    /// Sends to the sidecar beside an engine, or handles the message here without the network.
     void sendTo(const Endpoint &engine, const GroupMessage &message)
     {
         if (engine == engine_)
@@ -428,20 +447,22 @@
             socket_.send({engine.ip, port_}, encodeMessage(message));
     }
 
+    /// Begins a sum: requests the counts of the poll's engines and reads those of the own engine.
     void apply(const Endpoint &from, const CountsPoll &poll)
     {
-        // What an earlier question still waits for goes into this sum.
+        // Ends an earlier request of the same sender; replies still missing from it are added to
+        // the new sum.
         for (CountsAggregation &earlier : aggregations_) {
             if (earlier.requester == from)
                 earlier.awaited = 0;
         }
-        tellDueCounts(monotonicNow());
-        const std::size_t requested = requestFromBranches(poll.engines);
+        sendDueCounts(monotonicNow());
+        const std::size_t branches = requestFromBranches(poll.engines);
         aggregations_.push_back(
             {.requester = from,
              .since = monotonicNow(),
              .timeout = gatherTime(poll.engines.size(), countsBytes(), bandwidth_),
-             .awaited = requested + 1,
+             .awaited = branches + 1,
              .sum = {}});
         engines_.readCounts(engine_, [this, from](Result<ExpertCounts> counts) {
             if (counts.has_error() || !status_)
@@ -458,7 +479,7 @@
         });
     }
 
-    /// Counts for this process as the leader, or for a sum that it collects for another one.
+    /// Applies the counts as the leader, or adds them to the oldest sum that is in progress.
     void apply(const Endpoint &, const CountsReply &reply)
     {
         if (leading_)
@@ -476,18 +497,19 @@
         if (found == aggregations_.end())
             return;
         addCounts(*found, reply);
-        tellDueCounts(monotonicNow());
+        sendDueCounts(monotonicNow());
     }
 
-    void tellDueCounts(TimePoint now)
+    /// Sends the sums that are complete or whose timeout has passed.
+    void sendDueCounts(TimePoint now)
     {
         for (const CountsAggregation &aggregation : extractDue(aggregations_, now)) {
             if (aggregation.sum.ranks > 0)
-                tellCounts(aggregation);
+                sendCounts(aggregation);
         }
     }
 
-    void tellCounts(const CountsAggregation &aggregation)
+    void sendCounts(const CountsAggregation &aggregation)
     {
         if (aggregation.requester.ip != engine_.ip)
             socket_.send(aggregation.requester, encodeMessage(aggregation.sum));
@@ -504,45 +526,49 @@
     void apply(const Endpoint &from, const RankCommand &command)
     {
         const TimePoint now = monotonicNow();
-        attentiveUntil_ = now + orderAttention;
+        frequentReportsUntil_ = now + frequentReportsAfterOrder;
         const std::size_t groupSize = status_ ? status_->report.groupSize : 0;
-        orders_->execute(command, from, profile(), groupSize);
+        orderExecutor_->execute(command, from, profile(), groupSize);
     }
 
     platform::ProcessSettings settings_;
     EventLoop loop_;
-    /// Before whatever starts a thread, as the log does; see ShutdownSignal.
+    /// Constructed before any member that starts a thread, such as the log; see ShutdownSignal.
     ShutdownSignal shutdown_;
     EventLog log_;
     Metrics metrics_;
     HttpClientPool pool_;
     EngineClient engines_;
     DatagramSocket socket_;
-    StatusListener scrapes_;
+    StatusListener metricsListener_;
     std::unique_ptr<GroupLeader> leader_;
-    std::unique_ptr<RankOrderExecutor> orders_;
+    std::unique_ptr<RankOrderExecutor> orderExecutor_;
     Endpoint engine_;
     std::uint16_t port_ = 0;
     LinkBandwidth bandwidth_;
     std::optional<RankStatus> status_;
+    /// Whether the last read of the engine's report succeeded.
     bool engineAnswers_ = true;
-    bool reading_ = false;
+    bool readingReport_ = false;
     bool readingExperts_ = false;
-    TimePoint readAt_;
-    TimePoint appliedAt_;
-    TimePoint attentiveUntil_;
-    /// Sums of counts that are being collected for others.
+    TimePoint readBegunAt_;
+    /// When the read of the applied report began.
+    TimePoint appliedReadBegunAt_;
+    TimePoint frequentReportsUntil_;
+    /// Sums of counts that are in progress, the oldest first.
     std::vector<CountsAggregation> aggregations_;
+    /// When each gateway's last hello arrived.
     std::map<Endpoint, TimePoint> gateways_;
     SentLoad sentLoad_;
     EngineListCache listCache_;
     LeaderElection election_;
     bool leading_ = false;
     bool decidingSoon_ = false;
+    /// Sender of the last poll from another sidecar.
     std::optional<Endpoint> leaderAddress_;
-    /// Versions of maps that the leader knows whole.
-    std::vector<std::uint64_t> leaderKnows_;
-    /// The engine's counts of experts as they were last told.
+    /// Versions of maps that the leader has whole, by its last poll.
+    std::vector<std::uint64_t> leaderMaps_;
+    /// The engine's expert counts as last read; a reply holds the difference to them.
     ExpertCounts counts_;
 };
 
--- a/Source/Programs/Sidecar/Sidecar.h
+++ b/Source/Programs/Sidecar/Sidecar.h
@@ -8,13 +8,13 @@
 
 namespace wisteria {
 
-/// The process beside a model engine: tells the gateways its load, and has its rank follow the
-/// group's leader. One of the sidecars of a service leads.
+/// The process beside a model engine. It reports the engine's load to the gateways and sends the
+/// orders of the group's leader to the engine. One sidecar of each service is the leader.
 class Sidecar
 {
 public:
-    /// Checks that the settings name all that the process needs.
-    /// @return BadSettings that names what is missing.
+    /// Checks that the settings contain everything that a sidecar requires.
+    /// @return BadSettings that names the missing setting.
     static Result<void> check(const platform::ProcessSettings &settings);
 
     explicit Sidecar(platform::ProcessSettings settings, const LogSettings &log = {});
@@ -22,7 +22,8 @@
     Sidecar(const Sidecar &) = delete;
     Sidecar &operator=(const Sidecar &) = delete;
 
-    /// Runs until it is told to stop.
+    /// Runs until SIGTERM or SIGINT.
+    /// @return BadSettings when a setting is missing or an address can't be bound.
     Result<void> run();
 
 private:
--- a/Source/Programs/Sidecar/SidecarMetrics.h
+++ b/Source/Programs/Sidecar/SidecarMetrics.h
@@ -10,20 +10,24 @@
 
 namespace wisteria {
 
-/// Counts a step of a switch of maps, as the group's leader sees it.
+/// Counts an event of a switch of expert maps. Also sets the skews of a proposed map, and records
+/// how long the group was held once the map is in force.
 void countSwitchEvent(Metrics &metrics, const GroupSwitch &group, SwitchEvent event, TimePoint now);
 
-/// @param result "done", or the kind of failure.
+/// Counts an order to the engine on the same VM.
+/// @param result "done" or "failed".
 void countOrder(Metrics &metrics, RankOrderKind kind, const std::string &result);
 
 /// State of a sidecar at the moment of a scrape.
 struct SidecarState
 {
     RankReport report{};
-    /// Since the engine last answered.
+    /// Time since the engine was last read with success.
     milliseconds reportAge{0};
     bool leading = false;
+    /// Gateways that the engine's load is sent to.
     std::size_t gateways = 0;
+    /// Since the process started.
     std::uint64_t droppedLogLines = 0;
 };
 
--- a/Tests/Gateway/CodecTest.cpp
+++ b/Tests/Gateway/CodecTest.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("Settings say which line is wrong and how to mend it")
+TEST_CASE("Settings errors name the wrong setting, and unknown settings are ignored")
 {
     REQUIRE(parseProcessSettings(goodSettings).has_value());
     const auto missing = parseProcessSettings("ip=10.1.0.4\n");
@@ -47,7 +47,7 @@
     REQUIRE(parseProcessSettings(goodSettings + "something.new=1\nnonsense\n").has_value());
 }
 
-TEST_CASE("Entries of another writer name no backend server")
+TEST_CASE("A backend entry with a missing or wrong field is refused")
 {
     const std::string good =
         R"({"service":"s","address":"10.0.0.1:80","slot_count":4,"state":"ready","born":17})";
@@ -61,7 +61,7 @@
         REQUIRE(decodeBackendEntry("i-1", bad).has_error());
 }
 
-TEST_CASE("A configuration that can't be read leaves the one before in force")
+TEST_CASE("A configuration that can't be read is refused, and a valid one is decoded")
 {
     for (const char *bad : {"", "{", "{}", R"({"version":1})", R"({"version":"1","routes":[]})",
                             R"({"version":1,"routes":[{"name":"r"}]})"})
@@ -73,20 +73,20 @@
             "tenants":[{"name":"t","api_keys":["k"],"priority":2}]})");
     REQUIRE(good.value().routes.front().repeatable());
     REQUIRE(good.value().routes.front().targetGap == milliseconds(120));
-    const auto untold = decodeConfiguration(
+    const auto minimal = decodeConfiguration(
         R"({"version":3,"routes":[{"hostname":"h","path_prefix":"/","kind":"idempotent"}]})");
-    REQUIRE(untold.value().routes.front().timeout > milliseconds(0));
+    REQUIRE(minimal.value().routes.front().timeout > milliseconds(0));
     REQUIRE(good.value().organisationOfKey.at("k").priority == 2);
 }
 
-TEST_CASE("The store's records are read, and broken answers refused")
+TEST_CASE("The store's records are decoded, and malformed answers are refused")
 {
     const std::string header("\0\0\0\0\0\0\0\7\0\0\0\0\0\0\0\5", 16);
     const std::string record("\0\0\0\4\1kab", 8);
     const auto page = decodeLogRead(okResponse(header + record), 6).value();
-    REQUIRE(page.end == 7);
-    REQUIRE(page.first == 5);
-    REQUIRE(page.next == 7);
+    REQUIRE(page.endOffset == 7);
+    REQUIRE(page.oldestOffset == 5);
+    REQUIRE(page.nextOffset == 7);
     REQUIRE(page.records.front().key == "k");
     REQUIRE(page.records.front().value == "ab");
     REQUIRE(decodeLogRead(okResponse(header + std::string(2, 0)), 6).has_error());
@@ -102,7 +102,7 @@
             == "hi");
 }
 
-TEST_CASE("A rank's report is read, and what is missing counts as nothing")
+TEST_CASE("A rank's report is decoded, and missing fields keep their defaults")
 {
     const auto report =
         decodeReport(okResponse(
@@ -123,7 +123,7 @@
     REQUIRE(decodeExpertCounts(okResponse(R"({"expert_counts":[1,"x"]})")).has_error());
 }
 
-TEST_CASE("An order carries what its kind needs, and nothing else")
+TEST_CASE("An order contains only the fields that its kind requires")
 {
     const std::string hold =
         orderRequest({.kind = RankOrderKind::Hold, .epoch = 3, .version = 0, .pass = 12});
@@ -137,9 +137,10 @@
     REQUIRE(decodeOrderAnswer(conflict).error().kind == ErrorKind::Conflict);
 }
 
-// One request of a caller is run as two. Two servers see its end in different places when its
-// length is told twice or its body is coded in a way that only one of them knows.
-TEST_CASE("Requests whose end could be read in two ways are refused")
+// Guards against request smuggling: two servers find the end of a request at different places when
+// its length is stated twice or its body has a transfer coding that only one of them knows, so that
+// one request of a caller runs as two.
+TEST_CASE("Requests with an ambiguous end are refused")
 {
     const std::string head = "POST /x HTTP/1.1\r\nHost: h\r\n";
     REQUIRE(faultOf(head + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc")
@@ -154,7 +155,7 @@
     REQUIRE(faultOf(head + "X: " + std::string(2000, 'x')) == RequestFault::HeaderTooLarge);
 }
 
-TEST_CASE("Requests are read byte by byte, in chunks, and one after the other")
+TEST_CASE("Requests are parsed from single bytes, with a chunked body, and in sequence")
 {
     RequestReader reader({});
     const std::string two = "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -172,7 +173,7 @@
     REQUIRE(reader.take().target == "/b");
 }
 
-TEST_CASE("What concerns one connection, and the key, is not passed on")
+TEST_CASE("Connection fields, the API key and a forged organisation are not forwarded")
 {
     HttpRequest request;
     request.method = "POST";
@@ -198,7 +199,7 @@
     REQUIRE(decodeCallerRequest(request).has_error());
 }
 
-TEST_CASE("Messages between processes survive the way, and foreign bytes are refused")
+TEST_CASE("Messages between processes are decoded as encoded, and foreign bytes are refused")
 {
     RankStatus status{.engine = {7, 80}, .readAtMilliseconds = 12};
     status.report.group = "g";
--- a/Tests/Gateway/DatagramPeer.h
+++ b/Tests/Gateway/DatagramPeer.h
@@ -16,11 +16,11 @@
 
 namespace wisteria::gateway_tests {
 
-/// Another process of the system, as far as the one under test can tell.
+/// A socket that acts as another process of the system towards the process under test.
 class DatagramPeer
 {
 public:
-    /// @param ip Of the VM that it stands for; it has the same port as the one under test.
+    /// @param ip Address of the VM that it acts for; the port is that of the process under test.
     DatagramPeer(std::uint32_t ip, const Endpoint &underTest)
         : descriptor_(::socket(AF_INET, SOCK_DGRAM, 0))
     {
@@ -41,7 +41,8 @@
         ::send(descriptor_, bytes.data(), bytes.size(), 0);
     }
 
-    /// Reads what comes within the time; returns the messages of a kind among it.
+    /// Receives for the whole time given.
+    /// @return The messages of one type; all others are dropped.
     template <typename Message> std::vector<Message> receiveWithin(milliseconds time) const
     {
         std::vector<Message> received;
@@ -61,6 +62,7 @@
         return received;
     }
 
+    /// Like receiveWithin(), but returns only the number of messages.
     template <typename Message> std::size_t countWithin(milliseconds time) const
     {
         return receiveWithin<Message>(time).size();
--- a/Tests/Gateway/GatewayUnderTest.h
+++ b/Tests/Gateway/GatewayUnderTest.h
@@ -63,13 +63,13 @@
     {
         settings_.vmName = "front-1";
         settings_.failureDomain = "a";
-        settings_.callers = Endpoint{INADDR_LOOPBACK, freePort()};
-        settings_.readiness = Endpoint{INADDR_LOOPBACK, freePort()};
-        settings_.metrics = Endpoint{INADDR_LOOPBACK, freePort()};
-        settings_.vm = {INADDR_LOOPBACK, 0};
+        settings_.callerEndpoint = Endpoint{INADDR_LOOPBACK, freePort()};
+        settings_.readinessEndpoint = Endpoint{INADDR_LOOPBACK, freePort()};
+        settings_.metricsEndpoint = Endpoint{INADDR_LOOPBACK, freePort()};
+        settings_.vmAddress = {INADDR_LOOPBACK, 0};
         settings_.firstInternalPort = freePort();
-        settings_.store = store.endpoint();
-        settings_.retrySlack = 200;
+        settings_.storeEndpoint = store.endpoint();
+        settings_.baseRetries = 200;
         settings_.gracePeriod = gracePeriod;
     }
 
@@ -106,7 +106,9 @@
 
     bool ready() const
     {
-        return callServer(*settings_.readiness, "GET /readiness HTTP/1.1\r\nHost: x\r\n\r\n").status
+        return callServer(*settings_.readinessEndpoint,
+                          "GET /readiness HTTP/1.1\r\nHost: x\r\n\r\n")
+                   .status
             == 200;
     }
 
@@ -115,7 +117,7 @@
     {
         CallResult result;
         eventually([&] {
-            result = callServer(*settings_.callers, request);
+            result = callServer(*settings_.callerEndpoint, request);
             return result.status == status;
         });
         return result;
@@ -138,17 +140,18 @@
     /// The metrics as a scraper gets them.
     std::string metrics() const
     {
-        return callServer(*settings_.metrics, "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n").body;
+        return callServer(*settings_.metricsEndpoint, "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
+            .body;
     }
 
-    const Endpoint &callers() const { return *settings_.callers; }
+    const Endpoint &callers() const { return *settings_.callerEndpoint; }
 
     /// Where it takes messages of other processes of the system.
-    Endpoint messages() const { return {settings_.vm.ip, settings_.firstInternalPort}; }
+    Endpoint messages() const { return {settings_.vmAddress.ip, settings_.firstInternalPort}; }
 
     CallResult call(const std::string &request) const
     {
-        return callServer(*settings_.callers, request);
+        return callServer(*settings_.callerEndpoint, request);
     }
 
     StoreStandIn store;
--- a/Tests/Gateway/GroupHelloTest.cpp
+++ b/Tests/Gateway/GroupHelloTest.cpp
@@ -23,9 +23,9 @@
 
 } // namespace
 
-// Guards against requests sent to ranks that are still closed after a loss of power: their sidecars
-// started just after the gateway's first hello and would hear nothing for 0.6 s.
-TEST_CASE("A gateway says hello often until a sidecar that it does not know yet has answered")
+// Guards against requests to ranks that are still closed after a power loss: their sidecars start
+// just after the gateway's first hello, and the next one at the usual interval is 0.6 s later.
+TEST_CASE("A gateway sends hellos at a short interval until a new sidecar has answered")
 {
     const ScriptedServer engine([](const SeenRequest &, ScriptPeer &) {}, sidecarIp);
     Running gateway;
@@ -39,9 +39,10 @@
     REQUIRE(sidecar.countWithin<GatewayHello>(milliseconds(550)) <= 1);
 }
 
-// After a restart a sidecar knows no other engine: without the list it neither leads its group nor
-// passes maps on, and the group keeps a map that no longer fits. The hello only names the list.
-TEST_CASE("A gateway names its list of engines in each hello, and tells it to a sidecar that asks")
+// Guards against a group that keeps an unsuitable expert map: a restarted sidecar has no engine
+// list, without which it neither leads its group nor relays maps. A hello contains only the list's
+// digest.
+TEST_CASE("A gateway sends the digest of its engine list in each hello, and the list on request")
 {
     const ScriptedServer engine([](const SeenRequest &, ScriptPeer &) {}, sidecarIp);
     Running gateway;
--- a/Tests/Gateway/SidecarTest.cpp
+++ b/Tests/Gateway/SidecarTest.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// The VM of the sidecar under test; the tests' own address comes before it, so they are further up
-/// the list of those that may lead.
+/// Address of the sidecar's VM. It is above the tests' own address, so that the tests come first in
+/// the list of members and win the leader election.
 constexpr std::uint32_t sidecarIp = 0x7F000002;
 
-/// What a rank of a group of two answers; its counts come after a while.
+/// Answers as the engine of rank 1 in a group of two; its counts are delayed.
 void answerAsEngine(const SeenRequest &request, ScriptPeer &peer, int countsDelayMilliseconds)
 {
     if (request.target() == "/report") {
@@ -31,7 +31,7 @@
     peer.send(plainResponse(200, "", R"({"map":{"version":0,"experts":[[1,3]]}})"));
 }
 
-/// A sidecar in a thread of its own beside a stand-in of its engine.
+/// Runs a sidecar in a separate thread; its engine is a stand-in.
 class RunningSidecar
 {
 public:
@@ -41,9 +41,9 @@
     {
         settings_.vmName = "side-1";
         settings_.failureDomain = "a";
-        settings_.vm = {sidecarIp, 0};
+        settings_.vmAddress = {sidecarIp, 0};
         settings_.firstInternalPort = freePort();
-        settings_.engine = engine;
+        settings_.engineEndpoint = engine;
         sidecar_ = std::make_unique<Sidecar>(settings_);
         end_ = std::async(std::launch::async, [this] { return sidecar_->run().has_value(); });
     }
@@ -67,13 +67,11 @@
 
 } // namespace
 
-// Of 805 requests that came fifteen seconds after a loss of power 90 were answered; the streams of
-// a group of 72 ranks were not. A sidecar that led for a moment had asked itself for counts. When
-// they came another one led; it added its sum to the sum that the other had asked for, told that
-// one, found its own still due, and so on until its stack was used up ("ended with code 139"). With
-// this set-up, and counts that may take 60 ms, it sent 129,790 and 129,716 datagrams in two runs;
-// on that day the links between failure domains carried 0.67 GB instead of 0.28 GB.
-TEST_CASE("A sidecar that stops leading tells a sum that it was asked for once")
+// Guards against endless recursion: a sidecar requests counts from itself while it leads, and they
+// arrive when another sidecar leads. The sidecar adds its sum to the sum that the other one has
+// requested, sends that, finds its own sum still due, and so on until its stack overflows. In this
+// set-up, with counts that take up to 60 ms, the fault sent about 130,000 datagrams in each run.
+TEST_CASE("A sidecar that stops leading sends a requested sum once")
 {
     ScriptedServer engine(
         [](const SeenRequest &request, ScriptPeer &peer) {
@@ -85,26 +83,26 @@
     const DatagramPeer other(INADDR_LOOPBACK, sidecar.address());
     const EngineList list{.profile = {.sets = 1, .expertsPerSet = 4, .expertsPerRank = 2},
                           .engines = {{INADDR_LOOPBACK, 1}, engine.endpoint()}};
-    // A rank that answers nobody keeps the sum that is asked for here waiting.
+    // A rank that never answers keeps the requested sum in progress.
     const CountsPoll poll{.engines = {{INADDR_LOOPBACK, 1}}};
     constexpr milliseconds untilItLeads{1400};
-    constexpr int leads = 4;
-    for (int lead = 0; lead < leads; ++lead) {
+    constexpr int terms = 4;
+    for (int term = 0; term < terms; ++term) {
         other.send(list);
         other.countWithin<CountsReply>(untilItLeads);
         other.send(poll);
-        // Later by a little each time: the lead ends at any moment between question and answer.
-        std::size_t told = other.countWithin<CountsReply>(milliseconds(5 * lead));
+        // The term ends a little later each time, at different moments between request and reply.
+        std::size_t replies = other.countWithin<CountsReply>(milliseconds(5 * term));
         other.send(RankPoll{});
-        told += other.countWithin<CountsReply>(milliseconds(300));
-        REQUIRE(told <= 1);
+        replies += other.countWithin<CountsReply>(milliseconds(300));
+        REQUIRE(replies <= 1);
     }
 }
 
-// Bytes between failure domains were the dearest thing of a fleet of 36 gateways and 192 sidecars:
-// each gateway told each sidecar the whole list of engines with each hello. Now a hello names the
-// list, and a sidecar asks for the one that it doesn't have.
-TEST_CASE("A sidecar asks for a list of engines only when a hello names another one")
+// Guards against traffic between failure domains that grows with gateways times engines squared:
+// with the whole list in each hello it was the largest cost of a fleet of 36 gateways and 192
+// sidecars. A hello contains only the digest of the list.
+TEST_CASE("A sidecar requests the engine list only when a hello contains another digest")
 {
     ScriptedServer engine(
         [](const SeenRequest &request, ScriptPeer &peer) { answerAsEngine(request, peer, 0); },
@@ -123,15 +121,15 @@
     for (int i = 0; i < 5; ++i)
         gateway.send(hello);
     REQUIRE(gateway.countWithin<EngineListRequest>(milliseconds(200)) == 0);
-    // Two gateways that know different lists are not both asked at each hello.
+    // Hellos with different digests don't cause a request each.
     for (std::uint64_t other = 1; other <= 20; ++other)
         gateway.send(GatewayHello{.listDigest = other});
     REQUIRE(gateway.countWithin<EngineListRequest>(milliseconds(200)) == 1);
 }
 
-// Guards against requests sent, and refused, to engines that are still starting after a loss of
-// power: a rank that nothing is told of counts as open after a moment.
-TEST_CASE("A sidecar tells that its engine takes no work while it does not answer")
+// Guards against requests to engines that are still starting after a power loss, which refuse them:
+// gateways soon consider a rank open when they receive no load reports of it.
+TEST_CASE("A sidecar reports a closed engine while the engine does not answer")
 {
     const RunningSidecar sidecar(Endpoint{sidecarIp, freePort()});
     const DatagramPeer gateway(INADDR_LOOPBACK, sidecar.address());
@@ -142,6 +140,7 @@
         return !loads.empty();
     }));
     REQUIRE_FALSE(loads.front().open);
-    // It is told again, or gateways would take the rank for unknown after a second.
+    // The report is repeated, because a gateway considers the rank unknown after a second without
+    // one.
     REQUIRE_FALSE(gateway.receiveWithin<EngineLoad>(milliseconds(600)).empty());
 }
