--- a/Source/Programs/Sidecar/EngineClient.cpp
+++ b/Source/Programs/Sidecar/EngineClient.cpp
@@ -47,9 +47,9 @@
     const Endpoint &engine,
     std::function<void(Result<std::vector<std::vector<std::uint32_t>>>)> done)
 {
-    calls_.start(engine, platform::heldExpertsRequest(), readTimeout,
+    calls_.start(engine, platform::rankExpertsRequest(), readTimeout,
                  decoded<std::vector<std::vector<std::uint32_t>>>(std::move(done),
-                                                                  platform::decodeHeldExperts),
+                                                                  platform::decodeRankExperts),
                  monotonicNow());
 }
 
--- a/Source/Programs/Sidecar/GroupLeader.cpp
+++ b/Source/Programs/Sidecar/GroupLeader.cpp
@@ -11,38 +11,39 @@
 
 namespace {
 
-/// Minimum interval between two requests for the ranks' counts. A shift of demand is detected at
-/// most this much later, which costs each running stream one late event. Requests continue during a
+/// Minimum interval between two requests for the ranks' counts. A shift of demand is detected up to
+/// an interval later, which costs each running stream one late event. Requests continue during a
 /// switch, because a sum of counts from before and after a shift leads to a map that fits neither.
 constexpr milliseconds minCountsPeriod{50};
-/// Minimum interval as a fraction of the time in which the replies of all ranks arrive: a request
-/// that overtakes the one before splits its replies into two sums.
+/// The interval is at least this fraction of the estimated time in which the replies of all ranks
+/// arrive: a request that overtakes the one before splits its replies into two sums.
 constexpr double countsPeriodFraction = 0.75;
 /// Allowance for replies to one request that arrive later than estimated.
 constexpr milliseconds countsLateness{10};
 /// Interval between two polls of the ranks. A status stays current although one reply is lost.
 constexpr milliseconds pollPeriod{200};
-/// The same during a switch; sidecars also report each change on their own initiative. It grows
-/// with the ranks beyond the number below, because decoding the replies uses up the leader's share
-/// of a core.
+/// The same during a switch; sidecars also send each change on their own initiative. It is
+/// multiplied by the number of engines divided by the number below, up to pollPeriod, because
+/// decoding the replies uses up the leader's share of a core.
 constexpr milliseconds pollPeriodSwitching{60};
-constexpr std::size_t ranksAtFullPollRate = 16;
+constexpr std::size_t enginesPerPollPeriod = 16;
 /// After this time without a message from a sidecar the leader reads the rank's state directly from
 /// the engine: the rank beside a dead sidecar may hold the group.
 constexpr milliseconds silenceTimeout{500};
-/// Interval between two rounds of such reads; the platform charges for each.
+/// Interval between two rounds of such reads; the platform charges for each read.
 constexpr milliseconds directReadPeriod{400};
 /// Engines that are read in one round. A leader that is itself overloaded considers all others
-/// silent: connections to each of them keep it busy for a second, and few are answered in time.
+/// silent: connections to each of them can keep it busy for a second, and few are answered in time.
 constexpr std::size_t maxDirectReads = 8;
-/// Ticks of map versions count tenths of a second since this Unix time. With the ranks of each
-/// tick, versions stay below 2^53 for millennia, so that JSON numbers represent them exactly.
-constexpr seconds versionEpoch{1'700'000'000};
+/// Ticks of map versions count tenths of a second since this Unix time. A version is made of the
+/// tick and the leader's rank, and stays below 2^53 for millennia, so that JSON numbers represent
+/// it exactly.
+constexpr seconds versionTickOrigin{1'700'000'000};
 constexpr milliseconds versionTick{100};
 
 std::uint64_t versionTickNow()
 {
-    const auto since = wallNow().time_since_epoch() - versionEpoch;
+    const auto since = wallNow().time_since_epoch() - versionTickOrigin;
     return since > milliseconds(0) ? static_cast<std::uint64_t>(since / versionTick) : 1;
 }
 
@@ -101,7 +102,7 @@
     addDemand(group->second, profile_, timing_, reply, now);
 }
 
-void GroupLeader::work(TimePoint now)
+void GroupLeader::tick(TimePoint now)
 {
     if (leadingSince_ == TimePoint())
         leadingSince_ = now;
@@ -139,7 +140,7 @@
                                   [](const auto &entry) { return switching(entry.second); });
     if (!busy)
         return pollPeriod;
-    const auto periodFactor = static_cast<int>(members_.size() / ranksAtFullPollRate);
+    const auto periodFactor = static_cast<int>(members_.size() / enginesPerPollPeriod);
     return std::min(pollPeriodSwitching * std::max(1, periodFactor), pollPeriod);
 }
 
@@ -177,8 +178,8 @@
         std::find_if(group.ranks.begin(), group.ranks.end(), [this](const auto &entry) {
             return entry.second.status.engine == ownEngine_;
         });
-    // Versions and holders are identified by the leader's own rank, so without it nothing is
-    // decided.
+    // The leader's own rank determines its version numbers and which rank holds the group, so
+    // nothing is decided without it.
     if (own == group.ranks.end())
         return;
     const SwitchUpdate update =
@@ -300,13 +301,15 @@
         if (group == groups_.end())
             return;
         const auto known = group->second.ranks.find(status.report.rank);
-        const bool sameMap = known != group->second.ranks.end()
+        const bool expertsKnown = known != group->second.ranks.end()
             && known->second.status.report.map == status.report.map
             && !known->second.status.experts.empty();
-        if (!sameMap) {
+        if (!expertsKnown) {
             readExpertsDirectly(std::move(status));
             return;
         }
+        // The read time is of the other VM's clock, which is unknown here. The previous one lets
+        // the sidecar's next status replace this one.
         status.readAtMilliseconds = known->second.status.readAtMilliseconds;
         status.experts = known->second.status.experts;
         wisteria::applyStatus(group->second, status, monotonicNow());
--- a/Source/Programs/Sidecar/GroupLeader.h
+++ b/Source/Programs/Sidecar/GroupLeader.h
@@ -35,14 +35,14 @@
     /// Sets the engines of the service, as listed by the gateways.
     void setEngines(const std::vector<Endpoint> &engines, const ExpertProfile &profile);
 
-    /// Stores a rank's status report.
+    /// Stores a rank's status.
     void applyStatus(const RankStatus &status, TimePoint now);
     /// Adds the ranks' expert counts to the demand of their group; ignored for an unknown group.
     void applyCounts(const CountsReply &reply, TimePoint now);
 
-    /// Sends the polls that are due and advances all switches; called every few milliseconds while
-    /// this sidecar leads.
-    void work(TimePoint now);
+    /// Sends the polls that are due, reads engines of silent sidecars directly and advances all
+    /// switches; called every few milliseconds while this sidecar leads.
+    void tick(TimePoint now);
 
     /// Advances the switches of all groups by the state received so far.
     void decide(TimePoint now);
--- a/Source/Programs/Sidecar/RankOrderExecutor.cpp
+++ b/Source/Programs/Sidecar/RankOrderExecutor.cpp
@@ -23,7 +23,7 @@
       completed_(std::move(completed))
 { }
 
-void RankOrderExecutor::execute(const RankCommand &command, const Endpoint &leader,
+void RankOrderExecutor::execute(const RankCommand &command, const Endpoint &sender,
                                 const ExpertProfile &profile, std::size_t groupSize)
 {
     RankOrder order = command.order;
@@ -44,24 +44,25 @@
         order.map = std::move(map.value());
     }
     inProgress_.push_back(order);
-    send(order, leader, 0);
+    send(order, sender, 0);
 }
 
-/// Sends an order, and resends it while the engine does not answer in time.
-void RankOrderExecutor::send(const RankOrder &order, const Endpoint &leader, int attemptsDone)
+/// Sends an order, and resends it while the engine does not answer in time, up to maxOrderAttempts
+/// attempts.
+void RankOrderExecutor::send(const RankOrder &order, const Endpoint &sender, int attemptsDone)
 {
     engines_.sendOrder(
-        engine_, order, [this, order, leader, attemptsDone](const Result<void> &result) {
+        engine_, order, [this, order, sender, attemptsDone](const Result<void> &result) {
             const bool unanswered = result.has_error() && result.error().kind == ErrorKind::Timeout;
             if (unanswered && shouldResend(attemptsDone + 1)) {
-                send(order, leader, attemptsDone + 1);
+                send(order, sender, attemptsDone + 1);
                 return;
             }
-            finish(order, leader, result);
+            finish(order, sender, result);
         });
 }
 
-void RankOrderExecutor::finish(const RankOrder &order, const Endpoint &leader,
+void RankOrderExecutor::finish(const RankOrder &order, const Endpoint &sender,
                                const Result<void> &result)
 {
     std::erase_if(inProgress_,
@@ -72,7 +73,7 @@
                   {{"kind", orderName(order.kind)},
                    {"version", order.version},
                    {"step", order.pass},
-                   {"leader", toText(leader)},
+                   {"leader", toText(sender)},
                    {"reason", result.error().message}});
     } else if (order.kind == RankOrderKind::Prepare) {
         acceptedVersion_ = order.version;
--- a/Source/Programs/Sidecar/RankOrderExecutor.h
+++ b/Source/Programs/Sidecar/RankOrderExecutor.h
@@ -11,7 +11,7 @@
 
 namespace wisteria {
 
-/// Sends the orders of a group's leader to the engine on the same VM.
+/// Sends the leader's orders to the engine on the same VM.
 class RankOrderExecutor
 {
 public:
@@ -22,13 +22,15 @@
 
     /// Sends a leader's order to the engine, with retries. Ignores an order that is already in
     /// progress, and logs and drops a Prepare whose map can't be resolved.
-    void execute(const RankCommand &command, const Endpoint &leader, const ExpertProfile &profile,
+    /// @param sender The leader, or the relay that forwarded the command; for logs.
+    void execute(const RankCommand &command, const Endpoint &sender, const ExpertProfile &profile,
                  std::size_t groupSize);
 
     /// Records the map version in force at the engine.
     void noteInForce(std::uint64_t version) { mapCache_.inForce = version; }
 
-    /// Whether the whole map of a version is known, so that a command may send changes to it.
+    /// Whether the whole map of a version is known, so that a Prepare may contain only changes to
+    /// it.
     bool hasMapOf(std::uint64_t version, const ExpertProfile &profile) const
     {
         return hasMap(mapCache_, profile, version);
@@ -38,8 +40,8 @@
     std::uint64_t acceptedVersion() const { return acceptedVersion_; }
 
 private:
-    void send(const RankOrder &order, const Endpoint &leader, int attemptsDone);
-    void finish(const RankOrder &order, const Endpoint &leader, const Result<void> &result);
+    void send(const RankOrder &order, const Endpoint &sender, int attemptsDone);
+    void finish(const RankOrder &order, const Endpoint &sender, const Result<void> &result);
 
     EngineClient &engines_;
     EventLog &log_;
--- a/Source/Programs/Sidecar/Sidecar.cpp
+++ b/Source/Programs/Sidecar/Sidecar.cpp
@@ -28,8 +28,8 @@
 constexpr milliseconds tickPeriod{25};
 /// Interval between two reads of the engine's report.
 constexpr milliseconds reportPeriod{loadReportInterval};
-/// The same while the rank takes part in a switch of expert maps.
-constexpr milliseconds reportPeriodSwitching{25};
+/// The same for a while after an order: the rank takes part in a switch of expert maps.
+constexpr milliseconds reportPeriodAfterOrder{25};
 /// A gateway gets no more load reports after this time without a hello from it, which is longer
 /// than three of its hello intervals.
 constexpr milliseconds gatewayTimeout{2000};
@@ -38,7 +38,8 @@
 /// Time after an order during which the report is read at the shorter interval.
 constexpr milliseconds frequentReportsAfterOrder{400};
 
-/// Whether two reports are equal in all fields on which the leader's switch decisions depend.
+/// Whether two reports have the same epoch, versions, hold and openness. Changes of passes and
+/// slowdown cause no additional status.
 bool sameSwitchState(const RankReport &a, const RankReport &b)
 {
     return a.epoch == b.epoch && a.map == b.map && a.prepared == b.prepared && a.armed == b.armed
@@ -121,7 +122,7 @@
         pool_.closeExpired(now);
         const bool frequent = now < frequentReportsUntil_;
         if (!readingReport_
-            && now - readBegunAt_ >= (frequent ? reportPeriodSwitching : reportPeriod))
+            && now - readBegunAt_ >= (frequent ? reportPeriodAfterOrder : reportPeriod))
             readReport();
         std::erase_if(gateways_,
                       [now](const auto &entry) { return now - entry.second > gatewayTimeout; });
@@ -129,7 +130,7 @@
         updateLeadership(now);
     }
 
-    /// Begins or ends to lead as the election says, and does the leader's work that is due.
+    /// Starts or stops leading by the result of the election, then runs the leader's due work.
     void updateLeadership(TimePoint now)
     {
         const auto position = std::find(members().begin(), members().end(), engine_);
@@ -141,7 +142,7 @@
             leader_->stop();
         leading_ = shouldLead;
         if (leading_)
-            leader_->work(now);
+            leader_->tick(now);
     }
 
     void readReport()
@@ -169,7 +170,8 @@
         log_.info(answers ? "engine.regained" : "engine.lost", {{"reason", reason}});
     }
 
-    /// Sends a report to the gateways, and to the leader when it differs from the one before.
+    /// Stores a report, sends the load to the gateways when it is due, and sends a status to the
+    /// leader when the switch state or the accepted version has changed.
     /// @param begunAt When the read began. Two reads may complete out of order; the one that began
     /// first is then dropped, as it may show the rank's state before an order.
     void applyReport(const RankReport &report, TimePoint begunAt)
@@ -180,7 +182,7 @@
         noteHold(election_, report.heldPass.has_value(), begunAt);
         const bool changed = !status_ || !sameSwitchState(status_->report, report)
             || status_->accepted != orderExecutor_->acceptedVersion();
-        const bool newMap = !status_ || status_->report.map != report.map
+        const bool expertsOutdated = !status_ || status_->report.map != report.map
             || status_->report.epoch != report.epoch || status_->experts.empty();
         RankStatus status{
             .engine = engine_, .report = report, .accepted = orderExecutor_->acceptedVersion()};
@@ -188,11 +190,11 @@
             std::chrono::duration_cast<milliseconds>(begunAt.time_since_epoch()).count());
         orderExecutor_->noteInForce(report.map);
         status.mapKnown = orderExecutor_->hasMapOf(report.map, profile());
-        if (!newMap)
+        if (!expertsOutdated)
             status.experts = status_->experts;
         status_ = status;
         sendLoad(loadFrom(report));
-        if (newMap && report.groupSize > 0 && !readingExperts_)
+        if (expertsOutdated && report.groupSize > 0 && !readingExperts_)
             readExperts(report);
         if (changed)
             sendStatusToLeader(status);
@@ -232,7 +234,7 @@
                 .gateways = static_cast<std::uint32_t>(gateways_.size())};
     }
 
-    /// Sends the engine's load to all gateways when a report is due.
+    /// Sends the engine's load to all gateways when it is due.
     void sendLoad(const EngineLoad &load)
     {
         const TimePoint now = monotonicNow();
@@ -254,7 +256,8 @@
             sendStatus(*leaderAddress_, status);
     }
 
-    /// Sends a status, without the experts when the leader has the map that they follow from.
+    /// Sends a status. Leaves out the experts when the leader has the whole map, which contains
+    /// them.
     void sendStatus(const Endpoint &leader, RankStatus status)
     {
         if (leaderHasMap(status.report.map))
@@ -309,7 +312,8 @@
         relay(others, bytes);
     }
 
-    /// Sends an encoded message to sidecars, through relays when the message is large.
+    /// Sends an encoded message to sidecars, through relays when copies for all receivers would
+    /// occupy this VM's link for too long.
     void relay(const std::vector<Endpoint> &engines, const std::string &bytes)
     {
         for (const RelayBranch &branch : relayPlan(engines, bytes.size(), bandwidth_)) {
@@ -377,6 +381,7 @@
         leader_->setEngines(listCache_.list.engines, listCache_.list.profile);
     }
 
+    /// The engine list of the service, whose sidecars are the candidates for leader.
     const std::vector<Endpoint> &members() const { return listCache_.list.engines; }
 
     const ExpertProfile &profile() const { return listCache_.list.profile; }
@@ -397,7 +402,7 @@
     void apply(const Endpoint &from, const RankPoll &poll)
     {
         const TimePoint now = monotonicNow();
-        // The list of members is sorted by address, and the first live one leads.
+        // The engine list is sorted by address, and the first live sidecar in it leads.
         const bool own = from.ip == engine_.ip;
         if (!own && from.ip < engine_.ip)
             noteHigherPriorityLeader(election_, now);
@@ -447,11 +452,12 @@
             socket_.send({engine.ip, port_}, encodeMessage(message));
     }
 
-    /// Begins a sum: requests the counts of the poll's engines and reads those of the own engine.
+    /// Begins an aggregation: requests the counts of the poll's engines and reads those of the own
+    /// engine.
     void apply(const Endpoint &from, const CountsPoll &poll)
     {
-        // Ends an earlier request of the same sender; replies still missing from it are added to
-        // the new sum.
+        // Ends an earlier aggregation for the same requester; replies that it still lacks are added
+        // to the new one.
         for (CountsAggregation &earlier : aggregations_) {
             if (earlier.requester == from)
                 earlier.awaited = 0;
@@ -479,7 +485,7 @@
         });
     }
 
-    /// Applies the counts as the leader, or adds them to the oldest sum that is in progress.
+    /// Applies the counts as the leader, or adds them to the oldest aggregation in progress.
     void apply(const Endpoint &, const CountsReply &reply)
     {
         if (leading_)
@@ -500,7 +506,7 @@
         sendDueCounts(monotonicNow());
     }
 
-    /// Sends the sums that are complete or whose timeout has passed.
+    /// Sends the sums of aggregations that are complete or whose timeout has passed.
     void sendDueCounts(TimePoint now)
     {
         for (const CountsAggregation &aggregation : extractDue(aggregations_, now)) {
@@ -555,7 +561,7 @@
     /// When the read of the applied report began.
     TimePoint appliedReadBegunAt_;
     TimePoint frequentReportsUntil_;
-    /// Sums of counts that are in progress, the oldest first.
+    /// Aggregations of counts that are in progress, the oldest first.
     std::vector<CountsAggregation> aggregations_;
     /// When each gateway's last hello arrived.
     std::map<Endpoint, TimePoint> gateways_;
@@ -564,7 +570,8 @@
     LeaderElection election_;
     bool leading_ = false;
     bool decidingSoon_ = false;
-    /// Sender of the last poll from another sidecar.
+    /// Sender of the last RankPoll from another sidecar. Polls are small enough to arrive directly,
+    /// not through a relay.
     std::optional<Endpoint> leaderAddress_;
     /// Versions of maps that the leader has whole, by its last poll.
     std::vector<std::uint64_t> leaderMaps_;
--- a/Source/Programs/Sidecar/Sidecar.h
+++ b/Source/Programs/Sidecar/Sidecar.h
@@ -8,8 +8,8 @@
 
 namespace wisteria {
 
-/// The process beside a model engine. It reports the engine's load to the gateways and sends the
-/// orders of the group's leader to the engine. One sidecar of each service is the leader.
+/// The process beside a model engine. It sends the engine's load to the gateways and the leader's
+/// orders to the engine. One sidecar of each service leads all groups of the service.
 class Sidecar
 {
 public:
--- a/Source/Programs/Sidecar/SidecarMetrics.h
+++ b/Source/Programs/Sidecar/SidecarMetrics.h
@@ -10,8 +10,8 @@
 
 namespace wisteria {
 
-/// Counts an event of a switch of expert maps. Also sets the skews of a proposed map, and records
-/// how long the group was held once the map is in force.
+/// Counts an event of a switch of expert maps. Sets the skews when a map is proposed and when it is
+/// in force; in the latter case also records how long the switch held the group.
 void countSwitchEvent(Metrics &metrics, const GroupSwitch &group, SwitchEvent event, TimePoint now);
 
 /// Counts an order to the engine on the same VM.
--- a/Tests/Fuzz/PlatformFuzzer.cpp
+++ b/Tests/Fuzz/PlatformFuzzer.cpp
@@ -28,7 +28,7 @@
     (void)platform::decodeNewest(response);
     (void)platform::decodeReport(response);
     (void)platform::decodeExpertCounts(response);
-    (void)platform::decodeHeldExperts(response);
+    (void)platform::decodeRankExperts(response);
     (void)platform::decodeConfiguration(text);
     (void)platform::decodeBackendEntry("i", text);
     (void)platform::parseProcessSettings(text);
--- a/Tests/Gateway/CodecTest.cpp
+++ b/Tests/Gateway/CodecTest.cpp
@@ -140,7 +140,7 @@
 // Guards against request smuggling: two servers find the end of a request at different places when
 // its length is stated twice or its body has a transfer coding that only one of them knows, so that
 // one request of a caller runs as two.
-TEST_CASE("Requests with an ambiguous end are refused")
+TEST_CASE("Malformed, oversized and ambiguously framed requests are refused")
 {
     const std::string head = "POST /x HTTP/1.1\r\nHost: h\r\n";
     REQUIRE(faultOf(head + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc")
@@ -155,7 +155,7 @@
     REQUIRE(faultOf(head + "X: " + std::string(2000, 'x')) == RequestFault::HeaderTooLarge);
 }
 
-TEST_CASE("Requests are parsed from single bytes, with a chunked body, and in sequence")
+TEST_CASE("Requests are parsed from single bytes, with a chunked body, and after an earlier one")
 {
     RequestReader reader({});
     const std::string two = "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -199,7 +199,8 @@
     REQUIRE(decodeCallerRequest(request).has_error());
 }
 
-TEST_CASE("Messages between processes are decoded as encoded, and foreign bytes are refused")
+TEST_CASE(
+    "Messages between processes survive encoding and decoding, and malformed bytes are refused")
 {
     RankStatus status{.engine = {7, 80}, .readAtMilliseconds = 12};
     status.report.group = "g";
@@ -217,6 +218,7 @@
     const auto pollBack = decodeMessage(encodeMessage(poll)).value();
     REQUIRE(std::get<CountsPoll>(pollBack).engines == poll.engines);
 
+    // Counts are sent as square roots in 31 levels, which is exact for these values.
     const CountsReply reply{.group = "g", .epoch = 2, .ranks = 8, .counts = {0, 1, 31 * 31}};
     const auto replyBack = decodeMessage(encodeMessage(reply)).value();
     REQUIRE(std::get<CountsReply>(replyBack).group == "g");
--- a/Tests/Gateway/GroupHelloTest.cpp
+++ b/Tests/Gateway/GroupHelloTest.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint32_t sidecarIp = 0x7F000003;
-constexpr std::uint32_t strangerIp = 0x7F000004;
+constexpr std::uint32_t unlistedIp = 0x7F000004;
 
 nlohmann::json configurationWithGroup()
 {
@@ -40,8 +40,8 @@
 }
 
 // Guards against a group that keeps an unsuitable expert map: a restarted sidecar has no engine
-// list, without which it neither leads its group nor relays maps. A hello contains only the list's
-// digest.
+// list, without which it can't lead or apply changes to the first map. A hello contains only the
+// list's digest.
 TEST_CASE("A gateway sends the digest of its engine list in each hello, and the list on request")
 {
     const ScriptedServer engine([](const SeenRequest &, ScriptPeer &) {}, sidecarIp);
@@ -49,7 +49,7 @@
     gateway.store.put("keyed.op", "config", configurationWithGroup());
     gateway.addBackend("i-1", "model", engine);
     const DatagramPeer sidecar(sidecarIp, gateway.messages());
-    const DatagramPeer stranger(strangerIp, gateway.messages());
+    const DatagramPeer unlisted(unlistedIp, gateway.messages());
     gateway.waitUntilReady();
     std::vector<GatewayHello> hellos;
     REQUIRE(eventually([&] {
@@ -63,6 +63,6 @@
     REQUIRE(lists.front().profile.expertsPerSet == 4);
     REQUIRE(digestOf(lists.front()) == hellos.front().listDigest);
     // No engine runs on that VM.
-    stranger.send(EngineListRequest{});
-    REQUIRE(stranger.countWithin<EngineList>(milliseconds(100)) == 0);
+    unlisted.send(EngineListRequest{});
+    REQUIRE(unlisted.countWithin<EngineList>(milliseconds(100)) == 0);
 }
--- a/Tests/Gateway/SidecarTest.cpp
+++ b/Tests/Gateway/SidecarTest.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Address of the sidecar's VM. It is above the tests' own address, so that the tests come first in
-/// the list of members and win the leader election.
+/// the engine list and win the leader election.
 constexpr std::uint32_t sidecarIp = 0x7F000002;
 
 /// Answers as the engine of rank 1 in a group of two; its counts are delayed.
@@ -50,6 +50,7 @@
 
     ~RunningSidecar()
     {
+        // Sidecar::run() returns on SIGTERM.
         ::kill(::getpid(), SIGTERM);
         end_.wait();
     }
@@ -67,11 +68,9 @@
 
 } // namespace
 
-// Guards against endless recursion: a sidecar requests counts from itself while it leads, and they
-// arrive when another sidecar leads. The sidecar adds its sum to the sum that the other one has
-// requested, sends that, finds its own sum still due, and so on until its stack overflows. In this
-// set-up, with counts that take up to 60 ms, the fault sent about 130,000 datagrams in each run.
-TEST_CASE("A sidecar that stops leading sends a requested sum once")
+// Guards against endless recursion: a sum that the sidecar requested from itself as leader falls
+// due after it has stopped leading, and is added to the sum that the new leader has requested.
+TEST_CASE("A sidecar that stops leading sends a requested sum at most once")
 {
     ScriptedServer engine(
         [](const SeenRequest &request, ScriptPeer &peer) {
@@ -89,6 +88,7 @@
     constexpr int terms = 4;
     for (int term = 0; term < terms; ++term) {
         other.send(list);
+        // Waits until the sidecar leads, and drops the replies that arrive meanwhile.
         other.countWithin<CountsReply>(untilItLeads);
         other.send(poll);
         // The term ends a little later each time, at different moments between request and reply.
@@ -99,10 +99,10 @@
     }
 }
 
-// Guards against traffic between failure domains that grows with gateways times engines squared:
-// with the whole list in each hello it was the largest cost of a fleet of 36 gateways and 192
-// sidecars. A hello contains only the digest of the list.
-TEST_CASE("A sidecar requests the engine list only when a hello contains another digest")
+// Guards against traffic between failure domains that grows with gateways times engines squared,
+// which the whole list in each hello would cost. A hello contains only the digest of the list.
+TEST_CASE(
+    "A sidecar requests the engine list seldom, and only when a hello contains another digest")
 {
     ScriptedServer engine(
         [](const SeenRequest &request, ScriptPeer &peer) { answerAsEngine(request, peer, 0); },
@@ -128,8 +128,8 @@
 }
 
 // Guards against requests to engines that are still starting after a power loss, which refuse them:
-// gateways soon consider a rank open when they receive no load reports of it.
-TEST_CASE("A sidecar reports a closed engine while the engine does not answer")
+// without load messages, gateways soon treat the rank as unknown and send it requests.
+TEST_CASE("A sidecar reports its engine as not open while the engine does not answer")
 {
     const RunningSidecar sidecar(Endpoint{sidecarIp, freePort()});
     const DatagramPeer gateway(INADDR_LOOPBACK, sidecar.address());
@@ -140,7 +140,7 @@
         return !loads.empty();
     }));
     REQUIRE_FALSE(loads.front().open);
-    // The report is repeated, because a gateway considers the rank unknown after a second without
-    // one.
+    // The load is sent again, because a gateway treats the rank as unknown after a second without
+    // it.
     REQUIRE_FALSE(gateway.receiveWithin<EngineLoad>(milliseconds(600)).empty());
 }
