--- a/Source/Programs/Gateway/BackendList.cpp
+++ b/Source/Programs/Gateway/BackendList.cpp
@@ -47,7 +47,7 @@
                    {"started", entry.value().startedAt},
                    {"offset", record.offset}});
     }
-    entry.value().recordedAt = record.offset;
+    entry.value().recordOffset = record.offset;
     putBackend(registry_, entry.value(), now);
 }
 
--- a/Source/Programs/Sidecar/GroupLeader.cpp
+++ b/Source/Programs/Sidecar/GroupLeader.cpp
@@ -80,7 +80,7 @@
     members_ = engines;
     profile_ = profile;
     const std::size_t bytes = encodedCountsBytes(std::size_t{profile.sets} * profile.expertsPerSet);
-    const milliseconds gathered = gatherTime(engines.size(), bytes, bandwidth_);
+    const milliseconds gathered = aggregationTime(engines.size(), bytes, bandwidth_);
     timing_.countsWindow = gathered + countsLateness;
     countsPeriod_ = std::max(
         minCountsPeriod, std::chrono::duration_cast<milliseconds>(gathered * countsPeriodFraction));
@@ -137,7 +137,7 @@
 milliseconds GroupLeader::rankPollPeriod() const
 {
     const bool busy = std::any_of(groups_.begin(), groups_.end(),
-                                  [](const auto &entry) { return switching(entry.second); });
+                                  [](const auto &entry) { return isSwitching(entry.second); });
     if (!busy)
         return pollPeriod;
     const auto periodFactor = static_cast<int>(members_.size() / enginesPerPollPeriod);
--- a/Source/Programs/Sidecar/Sidecar.cpp
+++ b/Source/Programs/Sidecar/Sidecar.cpp
@@ -73,7 +73,7 @@
         if (settings_.metricsEndpoint) {
             BOOST_OUTCOME_TRYV(metricsListener_.listen(*settings_.metricsEndpoint));
         }
-        election_.since = monotonicNow();
+        election_.listeningSince = monotonicNow();
         leader_ = std::make_unique<GroupLeader>(
             engines_, log_, metrics_,
             LeaderTransport{
@@ -240,7 +240,7 @@
         const TimePoint now = monotonicNow();
         if (!shouldReport(sentLoad_, load, now))
             return;
-        sentLoad_ = {.load = load, .at = now};
+        sentLoad_ = {.load = load, .sentAt = now};
         const std::string bytes = encodeMessage(load);
         for (const auto &[gateway, receivedAt] : gateways_)
             socket_.send(gateway, bytes);
@@ -377,7 +377,7 @@
         setList(listCache_, list);
         // A new member waits for polls of a current leader before it may lead.
         if (!wasMember && isMember())
-            election_.since = monotonicNow();
+            election_.listeningSince = monotonicNow();
         leader_->setEngines(listCache_.list.engines, listCache_.list.profile);
     }
 
@@ -467,7 +467,7 @@
         aggregations_.push_back(
             {.requester = from,
              .since = monotonicNow(),
-             .timeout = gatherTime(poll.engines.size(), countsBytes(), bandwidth_),
+             .timeout = aggregationTime(poll.engines.size(), countsBytes(), bandwidth_),
              .awaited = branches + 1,
              .sum = {}});
         engines_.readCounts(engine_, [this, from](Result<ExpertCounts> counts) {
--- a/Source/Request/BackendRegistry.cpp
+++ b/Source/Request/BackendRegistry.cpp
@@ -105,7 +105,7 @@
 {
     if (entry.startedAt != 0 && other.startedAt != 0)
         return entry.startedAt > other.startedAt;
-    return entry.recordedAt && other.recordedAt && *entry.recordedAt > *other.recordedAt;
+    return entry.recordOffset && other.recordOffset && *entry.recordOffset > *other.recordOffset;
 }
 
 /// Marks the older of two at one address. What was told of the address is of the one that is there.
@@ -256,7 +256,7 @@
         state.since = now;
     }
     // A record that is read once more, as after lost history, tells nothing new.
-    const bool renewed = !entry.recordedAt || entry.recordedAt != state.entry.recordedAt;
+    const bool renewed = !entry.recordOffset || entry.recordOffset != state.entry.recordOffset;
     const bool settle = restarted || (state.replaced && renewed);
     state.entry = entry;
     if (!settle)
--- a/Source/Version/BackendEntry.h
+++ b/Source/Version/BackendEntry.h
@@ -9,23 +9,23 @@
 
 namespace wisteria {
 
-/// What a backend server says of itself in the list of backend servers.
+/// A backend server's own entry in the list of backend servers.
 struct BackendEntry
 {
     std::string id;
     std::string service;
     Endpoint address;
     std::string failureDomain;
-    /// Requests that it processes at once.
+    /// Number of requests that it processes concurrently.
     std::uint32_t slots = 1;
-    /// It takes no new work and will end.
+    /// It takes no new work and will shut down.
     bool draining = false;
-    /// How much longer it stays slow after its start.
-    milliseconds coldFor{0};
-    /// Moment of its start. It may start again under the same id, and knows nothing of before.
+    /// Remaining time of its slow phase after a start.
+    milliseconds coldRemaining{0};
+    /// Start time. It may restart under the same id, and then keeps no state.
     std::uint64_t startedAt = 0;
-    /// Offset of the record that says this, in the log of the list; later ones are higher.
-    std::optional<std::uint64_t> recordedAt{};
+    /// Offset of this entry's record in the log of the list; later records have higher offsets.
+    std::optional<std::uint64_t> recordOffset{};
 };
 
 } // namespace wisteria
--- a/Source/Version/EngineListCache.h
+++ b/Source/Version/EngineListCache.h
@@ -7,23 +7,25 @@
 
 namespace wisteria {
 
-/// The list of engines that a sidecar goes by. A plain value.
+/// Engine list that a sidecar uses. A value type without I/O.
 struct EngineListCache
 {
     EngineList list;
-    /// Of the list; 0 before the first one.
+    /// Digest of the list; 0 before the first list.
     std::uint64_t digest = 0;
+    /// When a list was last requested.
     TimePoint requestedAt;
 };
 
-/// Pause between two questions for a list. Gateways learn of a change up to a read of the store
-/// apart, so for a while their hellos name two lists in turn, and each would be asked for.
+/// Minimum interval between two requests for a list. Gateways see a change up to one poll of the
+/// store apart, so for a while their hellos alternate between two lists, and without the interval
+/// each hello would cause a request.
 constexpr milliseconds listRequestInterval{300};
 
-/// Whether the gateway whose hello names this list is to be asked for it.
-inline bool shouldRequestList(const EngineListCache &cache, std::uint64_t named, TimePoint now)
+/// Whether to request the list from the gateway whose hello contained this digest.
+inline bool shouldRequestList(const EngineListCache &cache, std::uint64_t listDigest, TimePoint now)
 {
-    return named != cache.digest && now - cache.requestedAt >= listRequestInterval;
+    return listDigest != cache.digest && now - cache.requestedAt >= listRequestInterval;
 }
 
 inline void noteListRequested(EngineListCache &cache, TimePoint now)
--- a/Source/Version/GroupMessages.cpp
+++ b/Source/Version/GroupMessages.cpp
@@ -12,7 +12,8 @@
 
 using Json = nlohmann::json;
 
-/// First element of each message. A new meaning of the fields gets a new number.
+/// First element of each message. If the meaning of the fields changes, the message gets a new
+/// number.
 enum class MessageKind : std::uint8_t {
     List = 1,
     Load = 2,
@@ -84,7 +85,7 @@
     return list;
 }
 
-/// Paces travel as whole hundredths: a number with a fraction takes nine bytes.
+/// Slowdowns are encoded as whole hundredths: a number with a fraction takes nine bytes.
 constexpr double slowdownUnit = 0.01;
 
 Json encode(const EngineLoad &load)
@@ -147,26 +148,26 @@
     return report;
 }
 
-/// Bits for each count. Its square root in so many levels keeps the counts of common experts, on
-/// which most ranks' loads rest, as exact in proportion as those of the favourites. Whole numbers
-/// would fill the links of a large group's relays for longer than a pass takes.
-constexpr unsigned countBits = 5;
-constexpr std::uint64_t countLevels = (1U << countBits) - 1;
+/// Bits per count. Levels of the square root keep the counts of common experts, which make up most
+/// ranks' load, as exact in proportion as those of the most frequent experts. Integers would
+/// keep the links of a large group's relays busy for longer than a pass takes.
+constexpr unsigned bitsPerCount = 5;
+constexpr std::uint64_t countLevels = (1U << bitsPerCount) - 1;
 
-/// Packs numbers of `countBits` bits, the low bits first.
+/// Packs numbers of `bitsPerCount` bits, low bits first.
 class CountPacker
 {
 public:
     void add(std::uint64_t level)
     {
         pending_ |= level << filled_;
-        for (filled_ += countBits; filled_ >= 8; filled_ -= 8) {
+        for (filled_ += bitsPerCount; filled_ >= 8; filled_ -= 8) {
             bytes_.push_back(static_cast<std::uint8_t>(pending_ & 0xFF));
             pending_ >>= 8;
         }
     }
 
-    std::vector<std::uint8_t> take()
+    std::vector<std::uint8_t> finish()
     {
         if (filled_ > 0)
             bytes_.push_back(static_cast<std::uint8_t>(pending_ & 0xFF));
@@ -179,17 +180,18 @@
     unsigned filled_ = 0;
 };
 
-/// The largest count, how many there are, and the level of each.
+/// Encodes the largest count, the number of counts and the level of each.
 Json encodeCounts(const std::vector<std::uint64_t> &counts)
 {
-    const auto most = std::max_element(counts.begin(), counts.end());
-    const std::uint64_t largest = most == counts.end() ? 0 : std::max<std::uint64_t>(*most, 1);
+    const auto maxCount = std::max_element(counts.begin(), counts.end());
+    const std::uint64_t largest =
+        maxCount == counts.end() ? 0 : std::max<std::uint64_t>(*maxCount, 1);
     CountPacker packer;
     for (const std::uint64_t count : counts) {
-        const double share = static_cast<double>(count) / static_cast<double>(largest);
-        packer.add(static_cast<std::uint64_t>(std::lround(std::sqrt(share) * countLevels)));
+        const double ratio = static_cast<double>(count) / static_cast<double>(largest);
+        packer.add(static_cast<std::uint64_t>(std::lround(std::sqrt(ratio) * countLevels)));
     }
-    return Json::array({largest, counts.size(), Json::binary(packer.take())});
+    return Json::array({largest, counts.size(), Json::binary(packer.finish())});
 }
 
 std::vector<std::uint64_t> decodeCounts(const Json &json)
@@ -198,17 +200,17 @@
     const auto size = json.at(1).get<std::size_t>();
     const Json::binary_t &bytes = json.at(2).get_binary();
     if (bytes.size() != encodedCountsBytes(size))
-        throw std::out_of_range("counts are cut off");
+        throw std::out_of_range("the counts are truncated");
     std::vector<std::uint64_t> counts;
     counts.reserve(size);
     std::uint64_t pending = 0;
     unsigned filled = 0;
-    for (auto byte = bytes.begin(); counts.size() < size; filled -= countBits) {
-        for (; filled < countBits; filled += 8)
+    for (auto byte = bytes.begin(); counts.size() < size; filled -= bitsPerCount) {
+        for (; filled < bitsPerCount; filled += 8)
             pending |= static_cast<std::uint64_t>(*byte++) << filled;
         const double root = static_cast<double>(pending & countLevels) / countLevels;
         counts.push_back(static_cast<std::uint64_t>(std::llround(root * root * largest)));
-        pending >>= countBits;
+        pending >>= bitsPerCount;
     }
     return counts;
 }
@@ -245,7 +247,7 @@
     RankCommand command;
     const auto kind = json.at(1).get<int>();
     if (kind < 0 || kind > static_cast<int>(RankOrderKind::Release))
-        throw std::out_of_range("unknown order");
+        throw std::out_of_range("unknown kind of order");
     command.order = {.kind = static_cast<RankOrderKind>(kind),
                      .epoch = json.at(2).get<std::uint64_t>(),
                      .version = json.at(3).get<std::uint64_t>(),
@@ -294,7 +296,7 @@
         return std::nullopt;
     const auto perSecond = json.get<double>();
     if (!std::isfinite(perSecond) || perSecond < 0)
-        throw std::out_of_range("a limit that is no number of requests");
+        throw std::out_of_range("a limit is negative or not finite");
     return perSecond;
 }
 
@@ -362,7 +364,7 @@
     case MessageKind::PermitReply:
         return decodePermitReply(json);
     }
-    throw std::out_of_range("unknown message");
+    throw std::out_of_range("unknown kind of message");
 }
 
 Json encode(const RankPoll &poll)
@@ -386,7 +388,7 @@
 std::size_t encodedCountsBytes(std::size_t counts)
 {
     constexpr std::size_t bitsPerByte = 8;
-    return (counts * countBits + bitsPerByte - 1) / bitsPerByte;
+    return (counts * bitsPerCount + bitsPerByte - 1) / bitsPerByte;
 }
 
 std::uint64_t digestOf(const EngineList &list)
@@ -433,7 +435,7 @@
     for (const RankMapChange &change : changes) {
         if (change.set >= map.size() || change.rank >= map[change.set].size()) {
             return failure(ErrorKind::BadInput,
-                           "a change of the expert map names a set or rank that it lacks");
+                           "a change of the expert map names a set or rank that is not in it");
         }
         map[change.set][change.rank] = change.experts;
     }
@@ -452,12 +454,13 @@
 {
     const Json json = Json::from_msgpack(bytes, true, false);
     if (!json.is_array())
-        return failure(ErrorKind::BadInput, "a datagram is no message; see who sends to the port");
+        return failure(ErrorKind::BadInput,
+                       "a datagram is not a message; check which process sends to the port");
     try {
         return decodeFields(json);
     } catch (const std::exception &error) {
         return failure(ErrorKind::BadInput,
-                       std::string("a message can't be read: ") + error.what()
+                       std::string("a message can't be decoded: ") + error.what()
                            + "; run the same version on all VMs");
     }
 }
--- a/Source/Version/GroupMessages.h
+++ b/Source/Version/GroupMessages.h
@@ -13,21 +13,21 @@
 
 namespace wisteria {
 
-/// What the placement of experts needs to know of a service's engines.
+/// Sizes and copy costs of a service's engines, the input of expert placement.
 struct ExpertProfile
 {
     std::uint32_t sets = 0;
     std::uint32_t expertsPerSet = 0;
     std::uint32_t expertsPerRank = 0;
-    /// Experts of a set that one rank may load for one new map.
+    /// Maximum number of experts of a set that one rank may copy for one new map.
     std::uint32_t copiesPerMap = 0;
-    /// Time that one expert's weights take to a rank, in milliseconds.
+    /// Time to copy one expert's weights to a rank, in milliseconds.
     double copyMilliseconds = 0;
 
     bool operator==(const ExpertProfile &) const = default;
 };
 
-/// Who serves a service. A sidecar needs no other knowledge of the platform's lists.
+/// Engines of a service and their profile. A sidecar needs nothing else of the platform's lists.
 struct EngineList
 {
     ExpertProfile profile;
@@ -37,87 +37,94 @@
     bool operator==(const EngineList &) const = default;
 };
 
-/// Tells lists apart; the order of the engines counts.
+/// Returns a hash of the list, which depends on the order of the engines.
 std::uint64_t digestOf(const EngineList &list);
 
-/// A gateway tells a sidecar that it is there, and which list it goes by. The list itself travels
-/// only on demand: in each hello it would grow with gateways times engines squared.
+/// Heartbeat of a gateway to a sidecar, with the digest of the engine list that the gateway uses.
+/// The list itself is sent on request only: in each hello, traffic would grow with gateways times
+/// engines squared.
 struct GatewayHello
 {
     std::uint64_t listDigest = 0;
 };
 
-/// A sidecar asks a gateway for the list that its hello named; answered by an EngineList.
+/// Request of a sidecar to a gateway for the list whose digest its hello contained. The reply is an
+/// EngineList.
 struct EngineListRequest
 { };
 
-/// A sidecar tells a gateway the load of its engine.
+/// Report of a sidecar to a gateway about the load of its engine.
 struct EngineLoad
 {
     Endpoint engine;
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
-    /// Above 1 for an engine slower than usual. Travels in hundredths.
+    /// Above 1 for an engine slower than usual. Encoded in hundredths.
     double slowdown = 1;
-    /// Its group takes work; one whose rank has crashed does not until it has formed anew.
+    /// The group accepts work. After a rank has crashed it does not until the group has formed
+    /// again.
     bool open = true;
-    /// Gateways that are told, and so share the free places.
+    /// Number of gateways that receive this report, and so share the free slots.
     std::uint32_t gateways = 1;
 
     bool operator==(const EngineLoad &) const = default;
 };
 
-/// The group's leader asks a sidecar for its rank's state.
+/// Request of the group's leader to a sidecar for its rank's status.
 struct RankPoll
 {
-    /// Versions of maps that the leader knows whole: the states of ranks on them need not name the
-    /// experts, which make up most of a state's bytes.
+    /// Versions whose complete map the leader has. Statuses of ranks on these maps may omit the
+    /// experts, which are most of a status's bytes.
     std::vector<std::uint64_t> knownMaps{};
 };
 
-/// Asks a sidecar how often its rank, and the ranks beside further sidecars, chose each expert
-/// since they were last asked. The receiver asks those and answers with one sum.
+/// Requests from a sidecar how often its rank, and the ranks beside further sidecars, chose each
+/// expert since the last request. The receiver requests the counts of the further sidecars and
+/// replies with one sum.
 struct CountsPoll
 {
     /// Engines beside the further sidecars.
     std::vector<Endpoint> engines;
 };
 
-/// Answers a CountsPoll.
+/// Reply to a CountsPoll.
 struct CountsReply
 {
     std::string group{};
     std::uint64_t epoch = 0;
-    /// Ranks whose counts are summed up here.
+    /// Number of ranks in the sum.
     std::uint32_t ranks = 0;
-    /// Most passes that a rank's counts are of; 0 when nothing was counted since the last time.
+    /// Largest number of passes that one rank's counts cover; 0 when nothing was counted since the
+    /// last request.
     std::uint64_t passes = 0;
-    /// One set of experts after the other; empty when nothing was counted. What matters is their
-    /// share: they travel as square roots in few levels, of the largest one.
+    /// One set of experts after the other; empty when nothing was counted. Only their proportions
+    /// matter, so the square root of each ratio to the largest count is encoded, in few levels.
     std::vector<std::uint64_t> counts{};
 };
 
-/// Bytes that so many counts take in a message; the fields beside them are few.
+/// Returns the bytes that this many counts take in a message. The other fields of the message add
+/// few bytes and are left out.
 std::size_t encodedCountsBytes(std::size_t counts);
 
-/// The state of a rank, as its own sidecar read it a moment ago.
+/// Status of a rank, as its sidecar last read it.
 struct RankStatus
 {
     Endpoint engine;
-    /// Time since the VM's boot at which the state was read. Datagrams may overtake each other, and
-    /// an older state must not replace a newer one.
+    /// Time since the VM's boot at which the status was read. Datagrams can be reordered, and an
+    /// older status must not replace a newer one.
     std::uint64_t readAtMilliseconds = 0;
     RankReport report{};
-    /// Version whose copies the engine has begun on the sidecar's last order to prepare; 0 for
-    /// none.
+    /// Version that the engine accepted on the sidecar's last order to prepare, so that it copies
+    /// the weights; 0 for none.
     std::uint64_t accepted = 0;
-    /// The sidecar has the whole map that is in force at its rank, so changes may go on from it.
+    /// The sidecar has the complete map that is in force at its rank, so it can apply changes to
+    /// it.
     bool mapKnown = false;
-    /// Experts that the rank holds, by set; empty while unknown, or known to the leader already.
+    /// Experts that the rank has, by set; empty while unknown or if the leader has the map already.
     std::vector<std::vector<std::uint32_t>> experts{};
 };
 
-/// Experts that one rank is to hold of one set.
+/// New list of the experts of one set at one rank.
 struct RankMapChange
 {
     std::uint32_t set = 0;
@@ -125,70 +132,76 @@
     std::vector<std::uint32_t> experts;
 };
 
-/// The group's leader wants an order given to a sidecar's own rank.
+/// Command of the group's leader to a sidecar to send an order to its rank.
 struct RankCommand
 {
     RankOrder order;
-    /// For Prepare without a map: the version whose map the changes go on from, which the sidecar
-    /// had before. A whole map for each rank took a third of a second of a large group's link.
+    /// For Prepare without a map: the version of the map that the changes apply to, which the
+    /// sidecar has. A complete map for each rank took a third of a second of the link of a large
+    /// group's leader.
     std::uint64_t base = 0;
     std::vector<RankMapChange> changes{};
 };
 
-/// A message that the receiver takes itself and passes on to the sidecars of further engines.
+/// A message that the receiver handles itself and forwards to the sidecars of further engines.
 ///
-/// The link of the leader's VM would be busy for longer than a pass takes with a new map for each
-/// rank of a large group.
+/// Without relays, sending a new map to each rank of a large group would keep the link of the
+/// leader's VM busy for longer than a pass takes.
 struct RelayedMessage
 {
     std::vector<Endpoint> engines;
-    /// Another message's bytes. Never a relayed one.
+    /// Encoded message, which is never a RelayedMessage.
     std::string message;
 };
 
-/// A gateway asks the one that keeps a backend server's limit, or tells it what the server said.
+/// Message of a gateway to the limit owner of a backend server: requests a permit, reports the
+/// limit that the server advertised, or both.
 struct PermitRequestMessage
 {
     std::string server;
-    /// One request is to be sent.
+    /// A permit for one request to the server is requested.
     bool wanted = false;
     std::uint32_t number = 0;
-    /// Requests a second that the server named last, and how long ago; nothing when it names none.
+    /// Last limit that the server advertised, in requests per second; empty for none.
     std::optional<double> perSecond{};
+    /// Time since that limit was received.
     std::uint32_t ageMilliseconds = 0;
 };
 
-/// Answers a PermitRequestMessage of the same number.
+/// Reply to the PermitRequestMessage of the same number.
 struct PermitReplyMessage
 {
     std::string server;
     std::uint32_t number = 0;
     bool granted = false;
-    /// When there will be a request to grant.
+    /// Time until the next permit can be granted.
     std::uint32_t nextInMilliseconds = 0;
-    /// The latest that any gateway heard from the server.
+    /// Latest limit that any gateway received from the server, in requests per second; empty for
+    /// none.
     std::optional<double> perSecond{};
+    /// Time since that limit was received.
     std::uint32_t ageMilliseconds = 0;
 };
 
-/// The map that groups begin with, version 0: experts in turn.
+/// Returns the map that groups start with, version 0: experts are assigned to ranks round-robin.
 RankMap firstRankMap(const ExpertProfile &profile, std::size_t ranks);
 
-/// What leads from one map to another of the same shape.
+/// Returns the changes that turn one map into another of the same shape.
 std::vector<RankMapChange> changesBetween(const RankMap &from, const RankMap &to);
 
-/// Carries changes out.
-/// @return BadInput when they name a set or rank that the map lacks.
+/// Applies changes to a map.
+/// @return BadInput when a change names a set or rank that is not in the map.
 Result<RankMap> applyChanges(RankMap map, const std::vector<RankMapChange> &changes);
 
 using GroupMessage = std::variant<GatewayHello, EngineListRequest, EngineList, EngineLoad, RankPoll,
                                   RankStatus, RankCommand, RelayedMessage, CountsPoll, CountsReply,
                                   PermitRequestMessage, PermitReplyMessage>;
 
-/// A message as MessagePack bytes.
+/// Returns the message as MessagePack bytes.
 std::string encodeMessage(const GroupMessage &message);
 
-/// @return BadInput for bytes that are no message of this version.
+/// Decodes a message.
+/// @return BadInput for bytes that are not a valid message of this version.
 Result<GroupMessage> decodeMessage(std::string_view bytes);
 
 } // namespace wisteria
--- a/Source/Version/GroupQueries.cpp
+++ b/Source/Version/GroupQueries.cpp
@@ -47,9 +47,9 @@
         if (other == rank)
             continue;
         const auto known = group.ranks.find(other);
-        const bool fresh = known != group.ranks.end() && known->second.status.report.groupOpen
+        const bool current = known != group.ranks.end() && known->second.status.report.groupOpen
             && now - known->second.receivedAt <= timing.statusLifetime;
-        if (!fresh)
+        if (!current)
             return false;
     }
     return size > 0;
@@ -109,19 +109,19 @@
     RankStatus &status = whole.ranks[unknown].status;
     status.report.map = group.ranks.begin()->second.status.report.map;
     for (std::uint32_t set = 0; set < profile.sets; ++set) {
-        std::vector<bool> held(profile.expertsPerSet, false);
+        std::vector<bool> assigned(profile.expertsPerSet, false);
         for (const auto &[rank, view] : group.ranks) {
             if (set >= view.status.experts.size())
                 return {};
             for (const std::uint32_t expert : view.status.experts[set]) {
-                if (expert < held.size())
-                    held[expert] = true;
+                if (expert < assigned.size())
+                    assigned[expert] = true;
             }
         }
-        std::vector<std::uint32_t> &rest = status.experts.emplace_back();
+        std::vector<std::uint32_t> &unassigned = status.experts.emplace_back();
         for (std::uint32_t expert = 0; expert < profile.expertsPerSet; ++expert) {
-            if (!held[expert])
-                rest.push_back(expert);
+            if (!assigned[expert])
+                unassigned.push_back(expert);
         }
     }
     return currentMap(whole, profile);
@@ -145,12 +145,11 @@
     return versions;
 }
 
-std::size_t unresponsiveRanks(const GroupSwitch &group, milliseconds silentAfter, TimePoint now)
+std::size_t unresponsiveRanks(const GroupSwitch &group, milliseconds timeout, TimePoint now)
 {
     return static_cast<std::size_t>(
-        std::count_if(group.ranks.begin(), group.ranks.end(), [&](const auto &entry) {
-            return now - entry.second.receivedAt > silentAfter;
-        }));
+        std::count_if(group.ranks.begin(), group.ranks.end(),
+                      [&](const auto &entry) { return now - entry.second.receivedAt > timeout; }));
 }
 
 std::vector<double> slowdownsOf(const GroupSwitch &group)
--- a/Source/Version/GroupQueries.h
+++ b/Source/Version/GroupQueries.h
@@ -8,63 +8,68 @@
 
 namespace wisteria {
 
-// What the leader's view of a group says. Nothing here changes the group.
+// Read-only queries on the leader's view of a group.
 
-/// Whether the rank is to switch to the version as that pass begins.
+/// Whether the rank is armed to switch to the version when that pass begins.
 bool isArmed(const RankReport &report, std::uint64_t version, std::uint64_t pass);
 
-/// Whether the rank shows the version, in whatever state.
+/// Whether the rank reports the version as prepared, armed or in force.
 bool hasVersion(const RankReport &report, std::uint64_t version);
 
-/// Whether the rank can never switch to the version any more: it has had a higher one, and ranks
-/// refuse lower ones then. Unlike a rank that merely does not show the version, this stays true
-/// however long ago it was read.
+/// Whether the rank can never switch to the version: it has had a higher one, after which ranks
+/// refuse lower ones. Unlike a rank that merely does not report the version, this stays true
+/// however old the status is.
 bool hasSuperseded(const RankReport &report, std::uint64_t version);
+/// Whether hasSuperseded() is true for any known rank.
 bool anyHasSuperseded(const GroupSwitch &group, std::uint64_t version);
 
 /// Whether a rank is known to be armed for any version.
 bool anyArmed(const GroupSwitch &group);
 
-/// Every rank of the group is known, in the same epoch, and lately.
+/// Whether every rank has a status of the current epoch that reports the group open and that was
+/// received within statusLifetime.
 bool allRanksCurrent(const GroupSwitch &group, const SwitchTiming &timing, TimePoint now);
 
-/// The same, leaving one rank out of account.
+/// The same for all ranks except one.
 bool allRanksCurrentExcept(const GroupSwitch &group, std::uint32_t rank, const SwitchTiming &timing,
                            TimePoint now);
 
-/// Ranks of the group, as the known ones tell; 0 while none is known.
+/// Returns the number of ranks of the group, as a known rank reports it; 0 while none is known.
 std::uint32_t groupSizeOf(const GroupSwitch &group);
 
-/// The rank that a leader has hold the group: the one after its own, so that no two leaders use the
-/// same one, and none the engine that freezes together with the leader.
+/// Returns the rank that a leader orders to hold the group: the one after its own. So two leaders
+/// never use the same rank, and no leader uses the engine on its own VM, which would freeze with
+/// it.
 std::uint32_t holderOf(std::uint32_t leaderRank, std::uint32_t groupSize);
 
-/// The rank beside the leader that has this one hold the group.
+/// Returns the rank beside the leader that orders this rank to hold the group.
 std::uint32_t leaderOfHolder(std::uint32_t holder, std::uint32_t groupSize);
 
-/// The last pass that any rank is known to have begun.
+/// Returns the latest pass that any rank is known to have begun.
 std::uint64_t latestPass(const GroupSwitch &group);
 
-/// The map in force, put together from what each rank holds; empty when the ranks' lists are not
-/// all of the same version, or no rank is known.
+/// Returns the map in force, composed of the known ranks' experts; empty when the statuses are not
+/// all of the same version, a status lacks its experts, or no rank is known.
 RankMap currentMap(const GroupSwitch &group, const ExpertProfile &profile);
 
-/// The same where one rank may be unknown: it holds at least what no other rank does.
+/// The same, but one rank may be unknown: it is assumed to have the experts that no other rank has.
 RankMap currentMapOfKnown(const GroupSwitch &group, const ExpertProfile &profile);
 
-/// Versions of maps that are known whole, so that ranks on them need not name their experts.
+/// Returns the versions whose complete map the leader has, so that ranks on them may omit their
+/// experts.
 std::vector<std::uint64_t> knownMaps(const GroupSwitch &group);
 
-/// Ranks that have not been heard of for a while.
-std::size_t unresponsiveRanks(const GroupSwitch &group, milliseconds silentAfter, TimePoint now);
+/// Returns the number of ranks whose last status was received longer ago than the timeout.
+std::size_t unresponsiveRanks(const GroupSwitch &group, milliseconds timeout, TimePoint now);
 
-/// Pace of each rank, above 1 for one slower than usual.
+/// Returns the slowdown of each known rank, above 1 for one slower than usual.
 std::vector<double> slowdownsOf(const GroupSwitch &group);
 
-/// Every hold that is known.
+/// Returns every hold that is known.
 std::vector<GroupHold> holdsOf(const GroupSwitch &group);
 
-/// The version and pass that every rank is armed for, or has switched to already.
+/// Returns the version and pass for which every rank is armed or has switched already; empty when
+/// there is none, no rank is armed any more, or a rank is unknown.
 std::optional<ArmedSwitch> commonArmedSwitch(const GroupSwitch &group);
 
 } // namespace wisteria
--- a/Source/Version/HoldRecovery.cpp
+++ b/Source/Version/HoldRecovery.cpp
@@ -11,15 +11,16 @@
 
 namespace {
 
-/// Chooses the version under which the held group goes on: the map in force, so nothing is copied.
-/// @return False while the map in force is not known of all ranks.
+/// Chooses the recovery version, under which the held group continues. Its map is the one in force,
+/// so no weights are copied.
+/// @return False while the map in force is not known.
 bool chooseRecoveryVersion(GroupSwitch &group, const ExpertProfile &profile,
                            const LeaderIdentity &leader, TimePoint now)
 {
     const std::vector<GroupHold> holds = holdsOf(group);
-    const bool newHold = std::any_of(holds.begin(), holds.end(), [&group](const GroupHold &held) {
-        const auto &seen = group.recoveredHolds;
-        return std::find(seen.begin(), seen.end(), held) == seen.end();
+    const bool newHold = std::any_of(holds.begin(), holds.end(), [&group](const GroupHold &hold) {
+        const auto &recovered = group.recoveredHolds;
+        return std::find(recovered.begin(), recovered.end(), hold) == recovered.end();
     });
     if (group.version != 0 && !newHold && !anyHasSuperseded(group, group.version))
         return true;
@@ -30,20 +31,21 @@
     group.map = std::move(current);
     group.version = newVersion(group, leader);
     group.recoveredHolds = holds;
-    // Another leader that does the same gets the time to be done with it.
+    // Another leader that recovers the same hold gets the time to finish.
     group.phaseSince = now;
     return true;
 }
 
-/// Whether every rank but one is unarmed and lacks all versions before the leader's own for good.
-bool onlyOwnVersionExcept(const GroupSwitch &group, std::uint32_t left)
+/// Whether every rank except one is unarmed and has prepared this leader's recovery version, so
+/// that it refuses all older ones.
+bool allRecoveredExcept(const GroupSwitch &group, std::uint32_t exceptRank)
 {
     const std::uint32_t size = groupSizeOf(group);
     for (std::uint32_t rank = 0; rank < size; ++rank) {
         const auto known = group.ranks.find(rank);
         const bool settled = known != group.ranks.end() && known->second.status.report.armed == 0
             && known->second.status.report.prepared == group.version;
-        if (!settled && rank != left)
+        if (!settled && rank != exceptRank)
             return false;
     }
     return true;
@@ -51,19 +53,19 @@
 
 } // namespace
 
-bool isOwnHold(const GroupSwitch &group, const GroupHold &held)
+bool isOwnHold(const GroupSwitch &group, const GroupHold &hold)
 {
     const auto &passes = group.heldPasses;
-    return held.rank == group.holder
-        && std::find(passes.begin(), passes.end(), held.pass) != passes.end();
+    return hold.rank == group.holder
+        && std::find(passes.begin(), passes.end(), hold.pass) != passes.end();
 }
 
 bool heldByOther(const GroupSwitch &group, const SwitchTiming &timing, TimePoint now)
 {
     const std::vector<GroupHold> holds = holdsOf(group);
-    return std::any_of(holds.begin(), holds.end(), [&](const GroupHold &held) {
-        const bool own = group.phase == SwitchPhase::Holding && isOwnHold(group, held);
-        const std::uint32_t leader = leaderOfHolder(held.rank, groupSizeOf(group));
+    return std::any_of(holds.begin(), holds.end(), [&](const GroupHold &hold) {
+        const bool own = group.phase == SwitchPhase::Holding && isOwnHold(group, hold);
+        const std::uint32_t leader = leaderOfHolder(hold.rank, groupSizeOf(group));
         return !own && allRanksCurrentExcept(group, leader, timing, now);
     });
 }
@@ -106,10 +108,10 @@
                          {.kind = RankOrderKind::Disarm, .version = report.armed}, now);
         }
     }
-    for (const GroupHold &held : holds) {
-        if (onlyOwnVersionExcept(group, leaderOfHolder(held.rank, groupSizeOf(group))))
-            requestOrder(group, update, timing, held.rank,
-                         {.kind = RankOrderKind::Release, .pass = held.pass}, now);
+    for (const GroupHold &hold : holds) {
+        if (allRecoveredExcept(group, leaderOfHolder(hold.rank, groupSizeOf(group))))
+            requestOrder(group, update, timing, hold.rank,
+                         {.kind = RankOrderKind::Release, .pass = hold.pass}, now);
     }
 }
 
--- a/Source/Version/HoldRecovery.h
+++ b/Source/Version/HoldRecovery.h
@@ -4,22 +4,24 @@
 
 namespace wisteria {
 
-// What is done with a group that another leader has had held, or this one for a version that is
-// lost. It answers leaders that die or freeze between hold and go: no stream of the group moves.
+// Recovery of a held group whose hold belongs to another leader, or to this one for a version that
+// a rank has superseded. Without it, a leader that dies or freezes between hold and release would
+// stall every stream of the group.
 
-/// Whether this leader had the pass held for its present version.
-bool isOwnHold(const GroupSwitch &group, const GroupHold &held);
+/// Whether this leader ordered the hold for its current version.
+bool isOwnHold(const GroupSwitch &group, const GroupHold &hold);
 
-/// Whether the group is held by somebody else, and enough ranks are known to let it go.
+/// Whether another leader has the group held, and the statuses of all ranks, except possibly the
+/// one beside that leader, are current, so that the hold can be recovered.
 bool heldByOther(const GroupSwitch &group, const SwitchTiming &timing, TimePoint now);
 
-/// Takes over a group that somebody else left held, or holds now.
+/// Starts the recovery of a group that another leader has held, whether that leader lives or not.
 void takeOver(GroupSwitch &group, SwitchUpdate &update, TimePoint now);
 
-/// Brings the ranks of a held group to a version that nobody arms, and lets the group go. An armed
-/// rank is only disarmed once another one lacks its version for good: as long as all may still be
-/// armed for it, another leader may have seen them so and let the group go. A rank that is not
-/// armed takes the new version, and from then on lacks the older ones for good.
+/// Has the ranks of a held group prepare a new version that no leader arms, and releases the hold.
+/// An armed rank is disarmed only after some rank has superseded its version: until then all ranks
+/// may be armed for it, and another leader may have seen that and released the group. An unarmed
+/// rank prepares the new version, and from then on refuses the older ones.
 void advanceRecovery(GroupSwitch &group, const ExpertProfile &profile, const SwitchTiming &timing,
                      const LeaderIdentity &leader, SwitchUpdate &update, TimePoint now);
 
--- a/Source/Version/LeaderElection.h
+++ b/Source/Version/LeaderElection.h
@@ -8,44 +8,46 @@
 
 namespace wisteria {
 
-/// Which sidecar of a service leads: the first of the list that is alive. A plain value.
+/// Election of the sidecar that leads a service: the first live one of the list. A value type
+/// without I/O.
 ///
-/// Two may lead for a moment, as when a paused one wakes up; the agreement on maps bears that, so
-/// the choice needs no lease and holds through outages of the store.
+/// Two sidecars may lead for a moment, for instance when a paused one resumes. The switch of expert
+/// maps tolerates that, so the election needs no lease and works through outages of the store.
 struct LeaderElection
 {
-    /// When a sidecar further up the list was last heard to lead.
+    /// When the last poll of a leader earlier in the list was received.
     TimePoint higherPriorityHeardAt;
-    /// When this process began to listen.
-    TimePoint since;
-    /// When any sidecar was last heard to lead.
+    /// When this process began to receive messages.
+    TimePoint listeningSince;
+    /// When the last poll of any other leader was received.
     TimePoint leaderHeardAt{};
-    /// Since when the rank beside this process holds its group; nothing when it does not.
+    /// Since when the rank beside this process has held its group; empty when it does not hold.
     std::optional<TimePoint> heldSince{};
 };
 
-/// A silent leader is replaced after this time: five of its polls. Sooner, a leader that looks for
-/// a map would be replaced meanwhile, and the two would prepare maps against each other.
+/// A silent leader is replaced after this time, five of its polls. With a shorter timeout a leader
+/// would be replaced while it searches for a map, and the two would prepare competing maps.
 constexpr milliseconds leaderTimeout{1000};
-/// Each further place in the list waits this much longer, so that one at a time tries.
+/// Each further position in the list waits this much longer, so that the sidecars become leader one
+/// at a time.
 constexpr milliseconds leaderStagger{150};
-/// Places beyond this one wait less longer each, or the last of a large service would wait for half
-/// a minute; still longer than a poll takes to them.
+/// From this position on each further one adds only leaderStaggerBeyond, or the last sidecar of a
+/// large service would wait for half a minute. Even that is longer than a poll takes to arrive.
 constexpr std::size_t staggeredPositions = 20;
 constexpr milliseconds leaderStaggerBeyond{25};
 
-/// The sidecar whose rank holds the group leads after so much silence, whatever its place: no
-/// stream moves until somebody lets the group go. It is more than two polls during a switch; should
-/// the leader live, both leading for a moment does no harm.
+/// The sidecar whose rank holds the group leads after this much silence of any leader, whatever its
+/// position, because every stream stalls until the hold is released. It is more than two polls
+/// during a switch. If the old leader is alive, two leaders for a moment do no harm.
 constexpr milliseconds leaderTimeoutWhileHeld{400};
 
-/// Notes a poll from any other sidecar.
+/// Records a poll from any other sidecar.
 inline void noteLeaderPoll(LeaderElection &election, TimePoint now)
 {
     election.leaderHeardAt = now;
 }
 
-/// Notes whether the own rank holds its group.
+/// Records whether the rank beside this process holds its group.
 inline void noteHold(LeaderElection &election, bool held, TimePoint now)
 {
     if (!held)
@@ -54,18 +56,18 @@
         election.heldSince = now;
 }
 
-/// Notes a poll from a sidecar further up the list.
+/// Records a poll from a sidecar earlier in the list.
 inline void noteHigherPriorityLeader(LeaderElection &election, TimePoint now)
 {
     election.higherPriorityHeardAt = now;
 }
 
 /// Whether this sidecar leads now.
-/// @param position Its place in the list of the service's sidecars, from 0.
+/// @param position Its position in the list of the service's sidecars, from 0.
 inline bool isLeader(const LeaderElection &election, std::size_t position, TimePoint now)
 {
     const bool heldWithoutLeader = election.heldSince
-        && now - std::max({*election.heldSince, election.leaderHeardAt, election.since})
+        && now - std::max({*election.heldSince, election.leaderHeardAt, election.listeningSince})
             >= leaderTimeoutWhileHeld;
     if (heldWithoutLeader)
         return true;
@@ -73,7 +75,7 @@
     const milliseconds wait = leaderTimeout
         + leaderStagger * static_cast<int>(std::min(position, staggeredPositions))
         + leaderStaggerBeyond * static_cast<int>(beyond);
-    const TimePoint from = std::max(election.higherPriorityHeardAt, election.since);
+    const TimePoint from = std::max(election.higherPriorityHeardAt, election.listeningSince);
     return now - from >= wait;
 }
 
--- a/Source/Version/OrderRetry.h
+++ b/Source/Version/OrderRetry.h
@@ -4,18 +4,18 @@
 
 namespace wisteria {
 
-// How a sidecar repeats an order to its own engine. Orders may get no answer and be carried out
-// seconds later; one that was lost can't be told from one that is late, and each order bears to be
-// carried out twice. All ranks of a group wait for the last one, so a sidecar goes on by itself
-// rather than wait for the leader to ask again.
+// Retries of an order by a sidecar to its own engine. An order may get no answer and be carried out
+// seconds later, so a lost order can't be told from a late one; every order is idempotent. All
+// ranks of a group wait for the last one, so a sidecar retries without waiting for the leader to
+// resend.
 
-/// An engine on the same VM answers within some milliseconds.
+/// Timeout of one attempt. An engine on the same VM answers within a few milliseconds.
 constexpr milliseconds orderTimeout{40};
-/// Tries while there is no answer; then the leader asks again. The more ranks there are, the more
-/// tries the unluckiest of them needs.
+/// Attempts without an answer before it is left to the leader to send the order again. The more
+/// ranks there are, the more attempts the unluckiest of them needs.
 constexpr int maxOrderAttempts = 16;
 
-/// Whether an order that got no answer is given once more.
+/// Whether an order without an answer is sent once more after this many attempts.
 constexpr bool shouldResend(int attemptsDone)
 {
     return attemptsDone < maxOrderAttempts;
--- a/Source/Version/RankReport.h
+++ b/Source/Version/RankReport.h
@@ -7,7 +7,7 @@
 
 namespace wisteria {
 
-/// The state of a model engine, and of its rank where it is one of a group's.
+/// State of a model engine, and of its rank if it belongs to a group.
 struct RankReport
 {
     std::uint32_t running = 0;
@@ -16,24 +16,26 @@
     std::uint64_t memoryTotal = 0;
     /// Above 1 for an engine slower than usual.
     double slowdown = 1;
-    /// Orders that began something since the start.
+    /// Number of orders since the engine's start that took effect.
     std::uint64_t orders = 0;
     std::string group;
-    /// Changes whenever the group forms anew, which clears all maps.
+    /// Changes whenever the group forms again, which clears all maps.
     std::uint64_t epoch = 0;
     std::uint32_t rank = 0;
     std::uint32_t groupSize = 0;
+    /// The group accepts work.
     bool groupOpen = false;
-    /// The last pass that was begun.
+    /// Latest forward pass (pass for short) that was begun.
     std::uint64_t pass = 0;
-    /// Version of the map in use.
+    /// Version of the map in force.
     std::uint64_t map = 0;
-    /// Version whose experts are all loaded; 0 for none.
+    /// Version whose experts are all copied; 0 for none.
     std::uint64_t prepared = 0;
-    /// Version and pass that a switch is armed for; 0 for none.
+    /// Version that the rank is armed to switch to; 0 for none.
     std::uint64_t armed = 0;
+    /// Pass at whose beginning it switches.
     std::uint64_t armedPass = 0;
-    /// Pass that the group does not begin until it is told to; nothing when not held.
+    /// Pass that the group does not begin until the hold is released; empty when not held.
     std::optional<std::uint64_t> heldPass{};
 };
 
@@ -49,10 +51,10 @@
 /// Experts by set and rank.
 using RankMap = std::vector<std::vector<std::vector<std::uint32_t>>>;
 
-/// What an order makes a rank do.
+/// Kind of order to a rank.
 enum class RankOrderKind { Prepare, Arm, Disarm, Hold, Release };
 
-/// The order's name, for logs and metrics.
+/// Returns the order's name for logs and metrics.
 inline const char *orderName(RankOrderKind kind)
 {
     switch (kind) {
@@ -70,15 +72,16 @@
     return "";
 }
 
+/// Order of a group's leader to a rank. Idempotent.
 struct RankOrder
 {
     RankOrderKind kind = RankOrderKind::Prepare;
     std::uint64_t epoch = 0;
-    /// Map version; for all but Hold and Go.
+    /// Map version; for Prepare, Arm and Disarm.
     std::uint64_t version = 0;
-    /// Pass; for Arm, Hold and Go.
+    /// Pass; for Arm, Hold and Release.
     std::uint64_t pass = 0;
-    /// For Prepare.
+    /// The new map; for Prepare.
     RankMap map{};
 };
 
--- a/Source/Version/RankSwitch.cpp
+++ b/Source/Version/RankSwitch.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Notes the pass that the group is to be held at.
-void aimAt(GroupSwitch &group, std::uint64_t pass)
+/// Sets the pass before which the group is to be held; never one that this leader used before.
+void scheduleHold(GroupSwitch &group, std::uint64_t pass)
 {
     group.pass = std::max(pass, group.lastHeldPass + 1);
     group.lastHeldPass = group.pass;
@@ -31,7 +31,7 @@
     }
     if (!allRanksCurrent(group, timing, now))
         return;
-    if (anyArmed(group) || now - group.lastSwitchAt < timing.betweenSwitches)
+    if (anyArmed(group) || now - group.lastSwitchAt < timing.minSwitchInterval)
         return;
     if (!group.demandIsNew)
         return;
@@ -40,9 +40,9 @@
     if (current.empty())
         return;
     const double skew = demandSkew(group.demand, current, slowdownsOf(group));
-    const bool seenBefore = skew < group.failedSearchSkew + timing.minSkewIncrease
+    const bool failedRecently = skew < group.failedSearchSkew + timing.minSkewIncrease
         && now - group.failedSearchAt < timing.searchRetryInterval;
-    if (seenBefore)
+    if (failedRecently)
         return;
     auto proposal = proposeMap(profile, group.demand, current, slowdownsOf(group), bounds);
     if (!proposal) {
@@ -62,8 +62,8 @@
 void advancePreparing(GroupSwitch &group, const SwitchTiming &timing, const LeaderIdentity &leader,
                       SwitchUpdate &update, TimePoint now)
 {
-    // A rank that has had a higher version never takes this one: an order that was believed lost
-    // was carried out late, or another leader's clock is ahead.
+    // A rank that has had a higher version refuses this one. Either an order that was taken for
+    // lost was carried out late, or another leader's clock is ahead.
     if (group.highestVersion > group.version) {
         update.event = SwitchEvent::Superseded;
         enterPhase(group, SwitchPhase::Idle, now);
@@ -81,7 +81,7 @@
         group.holder = holderOf(leader.rank, groupSizeOf(group));
         group.heldPasses.clear();
         enterPhase(group, SwitchPhase::Holding, now);
-        aimAt(group, latestPass(group) + timing.passesAhead);
+        scheduleHold(group, latestPass(group) + timing.passesAhead);
         return;
     }
     if (now - group.phaseSince > timing.prepareTimeout) {
@@ -107,9 +107,9 @@
         enterPhase(group, SwitchPhase::Idle, now);
         return;
     }
-    // A pass that has begun can't be held any more; nothing is armed yet, so another is tried.
+    // A pass that has begun can no longer be held. No rank is armed yet, so a later pass is tried.
     if (latestPass(group) + 1 >= group.pass && !group.pendingOrders.empty())
-        aimAt(group, latestPass(group) + timing.passesAhead + 1);
+        scheduleHold(group, latestPass(group) + timing.passesAhead + 1);
     requestOrder(group, update, timing, group.holder,
                  {.kind = RankOrderKind::Hold, .pass = group.pass}, now);
 }
@@ -127,7 +127,8 @@
         enterPhase(group, SwitchPhase::Releasing, now);
         return;
     }
-    // The own rank comes last: what can't be seen of it after this VM froze, the others tell.
+    // The rank beside this leader is armed last. If this VM freezes, another leader that can't
+    // reach it concludes from an unarmed other rank that it is unarmed too.
     if (unarmed.size() > 1)
         std::erase(unarmed, group.ownRank);
     for (const std::uint32_t rank : unarmed) {
@@ -135,7 +136,7 @@
                      {.kind = RankOrderKind::Arm, .version = group.version, .pass = group.pass},
                      now);
     }
-    // The pass began without anybody armed: the group was not held any more when it was taken over.
+    // The pass began and no rank switched: the hold was released before the ranks were armed.
     const bool begun = latestPass(group) >= group.pass
         && std::none_of(group.ranks.begin(), group.ranks.end(), [&](const auto &entry) {
                            return entry.second.status.report.map == group.version;
@@ -152,15 +153,15 @@
     }
 }
 
-/// All ranks are armed for one version and pass, so every hold up to that pass may go.
+/// Releases every hold up to the pass: all ranks are armed for one version and that pass.
 void advanceReleasing(GroupSwitch &group, const SwitchTiming &timing, SwitchUpdate &update,
                       TimePoint now)
 {
     bool held = false;
     for (const auto &[rank, view] : group.ranks) {
         const auto &heldPass = view.status.report.heldPass;
-        // A later pass may be held by then: an order to hold that was believed lost can be carried
-        // out after the switch. The group then finds itself held by nobody.
+        // A later pass may be held meanwhile: an order to hold that was taken for lost can be
+        // carried out after the switch. That hold is recovered as one without a live leader.
         if (!heldPass || *heldPass > group.pass)
             continue;
         held = true;
@@ -177,8 +178,8 @@
     enterPhase(group, SwitchPhase::Idle, now);
 }
 
-/// Adds the experts that a status leaves out because the leader knows the map.
-void completeExperts(const GroupSwitch &group, RankStatus &status)
+/// Adds the experts that a status omits because the leader knows the map.
+void addOmittedExperts(const GroupSwitch &group, RankStatus &status)
 {
     const RankReport &report = status.report;
     if (!status.experts.empty())
@@ -217,7 +218,7 @@
         return;
     group.highestVersion =
         std::max({group.highestVersion, report.map, report.prepared, report.armed});
-    completeExperts(group, status);
+    addOmittedExperts(group, status);
     const std::uint32_t rank = report.rank;
     group.ranks[rank] = {std::move(status), now};
 }
@@ -239,7 +240,7 @@
     found->second.receivedAt = now;
     switch (order.kind) {
     case RankOrderKind::Prepare:
-        // The copies are not complete yet; only the rank's report says so.
+        // The rank reports when its copies are complete.
         return;
     case RankOrderKind::Arm:
         report.armed = order.version;
@@ -263,8 +264,8 @@
 {
     SwitchUpdate update;
     closeOverdueWindow(group, profile, timing, now);
-    // Somebody else's hold must not last: whoever set it may be gone.
     group.ownRank = leader.rank;
+    // Another leader's hold is recovered, as that leader may have died.
     const bool unheldPhase =
         group.phase == SwitchPhase::Preparing || group.phase == SwitchPhase::Holding;
     if (unheldPhase && heldByOther(group, timing, now))
--- a/Source/Version/RankSwitch.h
+++ b/Source/Version/RankSwitch.h
@@ -14,114 +14,117 @@
 
 namespace wisteria {
 
-/// One rank as the group's leader knows it.
+/// Last status that the group's leader received of one rank.
 struct RankView
 {
     RankStatus status;
-    /// When the status arrived.
+    /// When the leader received the status.
     TimePoint receivedAt;
 };
 
-/// Times and bounds of the leader's work. Tests shorten them.
+/// Timeouts and bounds of a switch. Tests shorten them.
 struct SwitchTiming
 {
-    /// A status that is older than this says nothing of the present.
+    /// A status that was received longer ago than this is out of date.
     milliseconds statusLifetime{450};
-    /// Pause before an order without an effect is asked for again.
-    milliseconds resend{50};
-    /// The same for a map that the rank is not known to copy yet, which doubles with each time, and
-    /// for one that it copies. Of many messages one is easily lost, and the whole group waits for
-    /// that rank.
-    milliseconds resendMap{120};
-    milliseconds resendAcceptedMap{1000};
-    /// How long all copies may take before the map is given up.
+    /// Pause before an order that has shown no effect is sent again.
+    milliseconds resendInterval{50};
+    /// The same for an order to prepare. The first value applies until the rank reports that it
+    /// copies the map, and doubles with each attempt; the second applies from then on. Among many
+    /// messages one is easily lost, and the whole group waits for that rank.
+    milliseconds mapResendInterval{120};
+    milliseconds acceptedMapResendInterval{1000};
+    /// How long all copies may take before the leader abandons the map.
     milliseconds prepareTimeout{4000};
-    /// How long a rank may take to hold the group. Orders that get no answer are given again; one
-    /// that is cut off from the leader alone never holds.
+    /// How long a rank may take to hold the group. Orders without a reply are sent again, but a
+    /// rank that only the leader can't reach never holds.
     milliseconds holdTimeout{1500};
-    /// A sidecar that does not answer for this long while the group is held has its rank ordered
-    /// from here: each further moment stalls every stream of the group.
-    milliseconds orderDirectlyAfter{150};
-    /// With more silent ranks than this it is the leader that hears nobody: orders of its own to
-    /// each engine would add to what its link and its processor are behind with.
+    /// When a sidecar has not answered for this long while the group is held, the leader sends the
+    /// orders directly to the engine: the hold stalls every stream of the group.
+    milliseconds directOrderDelay{150};
+    /// If more ranks than this are silent, the leader's own link or processor is overloaded, and
+    /// direct orders to each engine would add to the load.
     std::size_t maxDirectlyOrdered = 8;
-    /// Passes between the last one seen and the one at which the group switches. The hold must
-    /// reach its rank before that pass begins; an order takes less than a pass.
+    /// Number of passes from the latest one known to the one that is held. The order to hold must
+    /// arrive before that pass begins; an order takes less than a pass.
     std::uint64_t passesAhead = 2;
-    /// How long orders to arm that are still on their way are waited for before a held group is
-    /// brought to another version: mostly they arrive, and nothing has to be undone.
+    /// How long recovery waits for orders to arm that are still in flight before it chooses a new
+    /// version: they mostly arrive, and then nothing has to be undone.
     milliseconds settleTime{200};
-    /// Pause between two changes of the map.
-    milliseconds betweenSwitches{100};
-    /// Counts of all ranks that were asked for at the same time arrive within this time; later
-    /// ones begin a window of their own.
+    /// Pause between two switches.
+    milliseconds minSwitchInterval{100};
+    /// The counts of all ranks that were requested at the same time arrive within this time; later
+    /// ones start a new window.
     milliseconds countsWindow{35};
-    /// After a look that found nothing, another one waits until the skew has grown by so much, or
-    /// for this long: looks at a large group's map would take up the share of a core that a sidecar
-    /// has.
+    /// After a search that found no better map, the next one waits until the skew has grown by this
+    /// much or this much time has passed: searches for a large group would use up the fraction of a
+    /// core that a sidecar has.
     double minSkewIncrease = 0.1;
     milliseconds searchRetryInterval{1000};
 };
 
-/// Where a change of the map stands.
+/// Phase of a switch of all ranks of a group to a new expert map.
 ///
-/// No pass may begin while two ranks have different maps. A hold on one rank keeps the whole group
-/// from beginning a pass. A leader lets it go only after it has seen every rank armed for the same
-/// version and pass since the hold, and an armed rank is never disarmed unless some rank is known
-/// to lack that version for good, as it has had a higher one: no one can then have seen them all
-/// armed. Only the leader that made a version arms ranks for it, and for one pass only, so that
-/// what was seen armed stays so. Versions of two leaders never have the same number.
+/// A forward pass, pass for short, is one run of all ranks of a group. Invariant: no pass begins
+/// while two ranks have different maps in force. A hold on one rank keeps the whole group from
+/// beginning a pass. A leader releases the hold only after it has seen every rank armed for the
+/// same version and pass since the hold. An armed rank is disarmed only if some rank is known to
+/// have superseded the armed version, that is, to have had a higher one: then no leader can have
+/// seen all ranks armed. Only the leader that created a version arms ranks for it, and for one pass
+/// only, so a rank that was seen armed stays armed. Two leaders never use the same version number.
 ///
-/// Whoever finds the group held by another leader arms nothing for that pass. It has the ranks take
-/// a version of its own, so that they lack the older ones for good, and lets the group go on its
-/// map. The rank beside the other leader may be out of reach, as after its VM froze: a leader arms
-/// that rank last, once it has seen all others armed, so others that are not armed tell that it is
-/// not either.
+/// A leader that finds the group held by another leader arms no rank for that pass. It has the
+/// ranks prepare a new version with the map in force, which supersedes all older versions, and then
+/// releases the hold. The rank beside the other leader may be unreachable, for instance because its
+/// VM froze. A leader arms the rank beside itself last, after it has seen all others armed; so if
+/// another rank is not armed, the unreachable one is not armed either.
 ///
-/// All this holds whoever leads, however old the statuses are and however late its orders are
-/// carried out, and with two leaders at a time; a new leader needs no memory and reads everything
+/// The invariant holds for any number of leaders at a time, however old the statuses are and
+/// however late orders are carried out. A new leader needs no stored state: it reads everything
 /// from the ranks.
 enum class SwitchPhase {
     Idle,
     Preparing, ///< The ranks copy the experts that are new to them.
-    Holding, ///< One rank is told to hold the group at a pass.
-    Arming, ///< Every rank is told to switch as that pass begins.
-    Recovering, ///< The group is held, and is let go on its map once ranks lack all other versions.
-    Releasing, ///< All are armed: the held rank is told to go on.
+    Holding, ///< One rank is ordered to hold the group before a pass.
+    Arming, ///< Every rank is ordered to switch when that pass begins.
+    Recovering, ///< A held group is released on its map after ranks superseded other versions.
+    Releasing, ///< All ranks are armed, and the rank that holds is ordered to release.
 };
-inline constexpr std::size_t switchPhases = 6;
+inline constexpr std::size_t switchPhaseCount = 6;
 
-/// An order that a rank was asked for, and how often.
+/// Last order that was sent to a rank in this phase.
 struct PendingOrder
 {
     RankOrderKind kind = RankOrderKind::Prepare;
     std::uint64_t version = 0;
     std::uint64_t pass = 0;
-    TimePoint at{};
-    std::uint32_t times = 0;
+    /// When it was last sent.
+    TimePoint requestedAt{};
+    std::uint32_t timesRequested = 0;
 };
 
-/// A version, and the pass in which ranks switch to it.
+/// A version, and the pass at whose beginning ranks switch to it.
 struct ArmedSwitch
 {
     std::uint64_t version = 0;
     std::uint64_t pass = 0;
 };
 
-/// Versions of one tick: one for each rank beside which a leader may run. Larger than any group.
+/// Version numbers in one tick: one for each rank beside which a leader may run, so this is above
+/// the size of any group.
 inline constexpr std::uint64_t ranksPerVersionTick = 4096;
 
-/// Where a leader runs, and how it numbers versions.
+/// Rank of a leader and its clock for version numbers.
 struct LeaderIdentity
 {
-    /// Rank beside the leader, which it orders fastest.
+    /// Rank beside the leader, the one that its orders reach fastest.
     std::uint32_t rank = 0;
-    /// Grows with the wall clock, so that a leader that starts anew, and knows of no version yet,
-    /// does not use one again.
+    /// Grows with the wall clock, so that a leader that restarts, and knows no versions yet, does
+    /// not use a number again.
     std::uint64_t versionTick = 0;
 };
 
-/// A rank that holds the group, and the pass that it does not begin.
+/// A rank that holds the group, and the pass that it keeps the group from beginning.
 struct GroupHold
 {
     std::uint32_t rank = 0;
@@ -130,7 +133,7 @@
     bool operator==(const GroupHold &) const = default;
 };
 
-/// All that the leader keeps of one group. A plain value.
+/// State that the leader keeps of one group. A value type without I/O.
 struct GroupSwitch
 {
     std::string group{};
@@ -139,107 +142,118 @@
     /// The rank beside this leader.
     std::uint32_t ownRank = 0;
     ExpertDemand demand{};
-    /// Counts that arrived on the last question, of how many ranks, and when the first came.
+    /// Counts that were received for the last request.
     ExpertDemand window{};
+    /// Number of ranks whose counts are in the window.
     std::uint32_t windowRanks = 0;
+    /// Largest number of passes that the counts in the window cover.
     std::uint64_t windowPasses = 0;
+    /// When the first counts of the window were received.
     TimePoint windowSince{};
-    /// Demand has moved: what was known is forgotten, and the next window is all that is known.
+    /// Demand has shifted: older counts were dropped, and the next window replaces them.
     bool demandShifted = false;
-    /// When that was last seen.
+    /// When a shift was last detected.
     std::optional<TimePoint> demandShiftedAt{};
     SwitchPhase phase = SwitchPhase::Idle;
     TimePoint phaseSince{};
-    /// Version that this leader made and brings into force; 0 while it has none.
+    /// Version that this leader brings into force; 0 for none. It created the version itself,
+    /// except while it releases a switch that another leader armed on all ranks.
     std::uint64_t version = 0;
+    /// Pass at whose beginning the ranks switch.
     std::uint64_t pass = 0;
-    /// Rank that holds, or is to hold, the group.
+    /// Rank that holds the group, or is ordered to.
     std::uint32_t holder = 0;
-    /// Passes that were to be held for the present version.
+    /// Passes for which this leader ordered a hold for the current version.
     std::vector<std::uint64_t> heldPasses{};
-    /// The last pass that this leader ever had held: each is used for one version only.
+    /// Last pass for which this leader ever ordered a hold: each is used for one version only.
     std::uint64_t lastHeldPass = 0;
-    /// Holds that were seen before the version was made which unwinds them. A rank that shows that
-    /// version has refused all that those holds were for; of a later hold it says nothing.
+    /// Holds that were known when the recovery version was created. A rank that has prepared that
+    /// version refuses all versions that those holds were for; a later hold may be for a higher
+    /// one.
     std::vector<GroupHold> recoveredHolds{};
     RankMap map{};
-    /// The map in force that `map` goes on from, and its version; empty when it may not be known to
-    /// the sidecars.
+    /// Map in force, the base for sending `map` as changes; empty if sidecars may not have it.
     RankMap base{};
+    /// Version of the base.
     std::uint64_t baseVersion = 0;
-    /// Highest version known of, in use or not.
+    /// Highest version that this leader knows, in force or not.
     std::uint64_t highestVersion = 0;
-    /// What was last asked of each rank in the present phase.
+    /// Last order to each rank in the current phase.
     std::map<std::uint32_t, PendingOrder> pendingOrders{};
+    /// When the last switch ended, or its preparing or holding timed out.
     TimePoint lastSwitchAt{};
-    /// Demand has come in since the last look for a better map.
+    /// New demand was added since the last search for a better map.
     bool demandIsNew = false;
-    /// Skew at the last look that found no better map, and when that was; 0 for none.
+    /// Skew at the last search if it found no better map, else 0; and when that search was.
     double failedSearchSkew = 0;
     TimePoint failedSearchAt{};
+    /// When this leader first saw the group held in the current switch.
     TimePoint heldSince{};
-    /// For how long each phase of the present switch lasted, by phase.
-    std::array<milliseconds, switchPhases> phaseTimes{};
+    /// Duration of each phase of the current switch, by phase.
+    std::array<milliseconds, switchPhaseCount> phaseTimes{};
     PlacementProposal proposal{};
 };
 
-/// An order for a rank, through its sidecar or straight to its engine.
+/// An order for a rank, sent through its sidecar or directly to its engine.
 struct SwitchAction
 {
     std::uint32_t rank = 0;
     Endpoint engine;
-    /// Without its map, which is the group's: copying it for each rank at each status would take a
-    /// large group's leader more than its share of a core.
+    /// Does not contain the map, which is `GroupSwitch::map`: copying it for each rank at each
+    /// status would take more than the fraction of a core that a large group's leader has.
     RankOrder order;
+    /// The order goes directly to the engine.
     bool direct = false;
-    /// For Prepare through a sidecar: it may be sent as changes against the map in force.
+    /// For Prepare through a sidecar: the map may be sent as changes against the map in force.
     bool asChanges = false;
 };
 
-/// What happened in a step of the leader's work, for logs and metrics.
+/// What happened in one call of advanceSwitch, for logs and metrics.
 enum class SwitchEvent {
     Nothing,
-    Preparing, ///< A better map was found, and its copies begin.
-    GaveUpPreparing, ///< The copies took too long.
-    GaveUpHolding, ///< The rank that was to hold the group did not.
-    TookOver, ///< The group was held by somebody who is gone.
-    Superseded, ///< A rank has had a higher version.
-    PassBegun, ///< The pass began before any rank was armed.
-    VersionLost, ///< A rank no longer has the version that the others are armed for.
-    InForce, ///< All ranks use the map.
+    Preparing, ///< A better map was found, and the ranks begin to copy experts.
+    GaveUpPreparing, ///< The copies took longer than prepareTimeout.
+    GaveUpHolding, ///< The rank did not hold the group within holdTimeout.
+    TookOver, ///< Another leader's hold was found, and its recovery begins.
+    Superseded, ///< A higher version than the one being prepared is known.
+    PassBegun, ///< The pass began, and no rank is known to have switched.
+    VersionLost, ///< A rank has superseded the version that ranks are being armed for.
+    InForce, ///< All ranks use the new map.
 };
 
-/// The note in words.
+/// Returns the event's text for logs and metrics, empty for Nothing.
 const char *eventText(SwitchEvent event);
 
-/// What a step of the leader's work gave.
+/// Actions and event of one call of advanceSwitch.
 struct SwitchUpdate
 {
     std::vector<SwitchAction> actions;
     SwitchEvent event = SwitchEvent::Nothing;
 };
 
-/// Takes in a rank's status. A new epoch begins anew.
+/// Stores a rank's status. Ignores one of an older epoch, and one that was read before a status
+/// that arrived within the last second. A status of a newer epoch resets the group's state first.
 void applyStatus(GroupSwitch &group, RankStatus status, TimePoint now);
 
-/// Forgets what was known of the ranks, and what was under way, when another sidecar leads. What
-/// this one used up stays: versions, and passes that it had held.
+/// Drops the views of the ranks and any switch in progress, when another sidecar leads. Version
+/// numbers and held passes that this leader has used stay used.
 void resetRanks(GroupSwitch &group);
 
-/// Notes that a rank has carried out an order that went straight to its engine.
+/// Records that a rank has carried out an order that was sent directly to its engine.
 void noteOrderDone(GroupSwitch &group, std::uint32_t rank, const RankOrder &order, TimePoint now);
 
-/// Decides what to do next.
+/// Advances the switch by what is known of the ranks. Returns the orders to send now and the event.
 SwitchUpdate advanceSwitch(GroupSwitch &group, const ExpertProfile &profile,
                            const PlacementBounds &bounds, const SwitchTiming &timing,
                            const LeaderIdentity &leader, TimePoint now);
 
-/// Whether the group is in the middle of a change, so that statuses are wanted often.
-inline bool switching(const GroupSwitch &group)
+/// Whether a switch or recovery is in progress, so that the leader polls the ranks often.
+inline bool isSwitching(const GroupSwitch &group)
 {
     return group.phase != SwitchPhase::Idle;
 }
 
+/// Returns the phase's name for logs and metrics.
 const char *phaseName(SwitchPhase phase);
 
 } // namespace wisteria
--- a/Source/Version/RelayPlan.h
+++ b/Source/Version/RelayPlan.h
@@ -10,7 +10,7 @@
 
 namespace wisteria {
 
-/// The link of a VM, as far as messages to and from many sidecars are concerned.
+/// Bandwidth of a VM's network link for messages to and from many sidecars.
 struct LinkBandwidth
 {
     double bytesPerMillisecond = 1000;
@@ -23,43 +23,43 @@
     return {megabitsPerSecond * bytesPerMegabit / millisecondsPerSecond};
 }
 
-/// How long one VM's link may be busy with a message to many, or with their answers. Beyond it,
-/// relays pay although each stage adds its way and its processing.
+/// How long one VM's link may be busy with a message to many receivers, or with their replies.
+/// Above this, relays are faster, although each stage adds network and processing time.
 constexpr milliseconds linkTimePerStage{16};
-/// Branches at least, however large the message: with fewer the stages become too many.
+/// Minimum number of branches, however large the message is: fewer would need too many stages.
 constexpr std::size_t minBranches = 5;
-/// So many receivers for each branch still get the message directly; one more stage would take
-/// longer.
-constexpr std::size_t directPerBranch = 2;
+/// Up to this many receivers per branch, all receivers get the message directly, as another stage
+/// would take longer.
+constexpr std::size_t directReceiversPerBranch = 2;
 
-/// One send of a message to many engines' sidecars: to the first, which passes it on to the rest.
+/// One send of a message to many engines' sidecars: to the first, which relays it to the rest.
 struct RelayBranch
 {
     Endpoint first;
     std::vector<Endpoint> rest;
 };
 
-/// Branches for a message to so many receivers; as many as receivers when it goes to each directly.
+/// Returns the number of branches for a message; the number of receivers if each gets it directly.
 inline std::size_t branchCount(std::size_t receivers, std::size_t messageBytes,
                                const LinkBandwidth &bandwidth)
 {
-    const double inTime =
+    const double bytesInTime =
         bandwidth.bytesPerMillisecond * static_cast<double>(linkTimePerStage.count());
     const double bytes = static_cast<double>(std::max<std::size_t>(messageBytes, 1));
-    const auto fitting = static_cast<std::size_t>(inTime / bytes);
+    const auto fitting = static_cast<std::size_t>(bytesInTime / bytes);
     const std::size_t branches = std::max(minBranches, fitting);
-    return receivers <= branches * directPerBranch ? receivers : branches;
+    return receivers <= branches * directReceiversPerBranch ? receivers : branches;
 }
 
-/// Splits the receivers of a message into branches. A message of few bytes in all goes to each
-/// receiver directly; the relay of a branch splits it again.
+/// Splits the receivers of a message into branches; the relay of a branch splits its receivers
+/// again. A message whose sends take few bytes in total goes to each receiver directly.
 ///
-/// With one stage of relays a large group's map, and the counts of its ranks, keep the leader's
-/// link busy for longer than a pass takes: statuses and orders between them come late or get lost.
-/// @param engines The ones that were heard of last come first. The first of each branch is its
-/// relay, as one that is gone costs its whole branch a resend; the rest keep their order, by which
-/// the relay chooses the next ones. Neighbouring addresses, which are mostly in one failure domain,
-/// share a branch.
+/// With only one stage of relays a large group's map, and the counts of its ranks, would keep the
+/// leader's link busy for longer than a pass takes, and statuses and orders would be late or lost.
+/// @param engines Sorted by the last message received from them, most recent first. The first
+/// engine of each branch is its relay: a dead relay costs its whole branch a resend. The rest keep
+/// their order, by which the relay chooses the next relays. Neighbouring addresses, which are
+/// mostly in one failure domain, share a branch.
 inline std::vector<RelayBranch> relayPlan(const std::vector<Endpoint> &engines,
                                           std::size_t messageBytes, const LinkBandwidth &bandwidth)
 {
@@ -82,23 +82,22 @@
     return branches;
 }
 
-/// How long a sidecar's own answer takes, with the way there and back and the reading of its
-/// engine.
-constexpr milliseconds ownAnswerTime{25};
+/// How long a sidecar's own reply takes, including the round trip and reading its engine.
+constexpr milliseconds ownReplyTime{25};
 
-/// Time within which the answers of so many sidecars are there, each summed up on the way: the
-/// stages wait for each other, and the answers to each of them share its link.
-inline milliseconds gatherTime(std::size_t sidecars, std::size_t answerBytes,
-                               const LinkBandwidth &bandwidth)
+/// Returns the time within which the replies of this many sidecars arrive, summed up by the relays.
+/// Each stage waits for the next one, and the replies to one relay share its link.
+inline milliseconds aggregationTime(std::size_t sidecars, std::size_t answerBytes,
+                                    const LinkBandwidth &bandwidth)
 {
-    milliseconds time = ownAnswerTime;
+    milliseconds time = ownReplyTime;
     while (sidecars > 0) {
         const std::size_t branches = branchCount(sidecars, answerBytes, bandwidth);
         const double bytes = static_cast<double>(branches * answerBytes);
         time += milliseconds(static_cast<int>(bytes / bandwidth.bytesPerMillisecond));
         sidecars = (sidecars + branches - 1) / branches - 1;
         if (sidecars > 0)
-            time += ownAnswerTime;
+            time += ownReplyTime;
     }
     return time;
 }
--- a/Source/Version/SentLoad.h
+++ b/Source/Version/SentLoad.h
@@ -8,22 +8,23 @@
 
 namespace wisteria {
 
-/// What a sidecar last told the gateways of its engine's load. A plain value.
+/// Load of its engine that a sidecar last sent to the gateways. A value type without I/O.
 struct SentLoad
 {
     std::optional<EngineLoad> load;
-    TimePoint at;
+    /// When it was sent.
+    TimePoint sentAt;
 };
 
-/// Pause between two loads that differ. Gateways place requests by them.
+/// Minimum interval between two different loads. Gateways choose backend servers by them.
 constexpr milliseconds loadReportInterval{100};
-/// Pause between two that are alike: two of them may get lost before gateways take the load for
+/// Interval between two equal loads: two of them may be lost before gateways treat the load as
 /// unknown.
 constexpr milliseconds unchangedLoadInterval{300};
-/// Paces that differ by less decide nothing.
+/// Smaller differences in slowdown do not affect the choice of a backend server.
 constexpr double slowdownResolution = 0.1;
 
-/// Whether the gateways would place requests otherwise if they knew the load.
+/// Whether the load differs enough from the one sent to affect the gateways' choices.
 inline bool differs(const EngineLoad &sent, const EngineLoad &load)
 {
     EngineLoad sameSlowdown = load;
@@ -31,16 +32,16 @@
     return sameSlowdown != sent || std::abs(load.slowdown - sent.slowdown) >= slowdownResolution;
 }
 
-/// Whether the gateways are to be told now.
+/// Whether to send the load to the gateways now.
 ///
-/// Most loads are the same as a tenth of a second before, and each goes to every gateway: their
-/// number grows with gateways times engines. A group that opens or closes is told at once, as
-/// requests wait for it or are sent there in vain.
+/// Most loads equal the one of a tenth of a second before, and each is sent to every gateway, so
+/// the number of messages grows with gateways times engines. A group that opens or closes is
+/// reported at once, because requests wait for it, or are sent to it and refused.
 inline bool shouldReport(const SentLoad &sent, const EngineLoad &load, TimePoint now)
 {
     if (!sent.load || sent.load->open != load.open)
         return true;
-    return now - sent.at
+    return now - sent.sentAt
         >= (differs(*sent.load, load) ? loadReportInterval : unchangedLoadInterval);
 }
 
--- a/Source/Version/SwitchOrders.cpp
+++ b/Source/Version/SwitchOrders.cpp
@@ -9,36 +9,37 @@
 
 namespace {
 
-/// Whether a map may be sent to the rank as changes from the one in force.
-bool asChanges(const GroupSwitch &group, const RankView &view)
+/// Whether the map may be sent to the rank as changes against the map in force.
+bool canSendAsChanges(const GroupSwitch &group, const RankView &view)
 {
     return !group.base.empty() && view.status.mapKnown
         && view.status.report.map == group.baseVersion;
 }
 
-/// Pause before a rank is asked for the same order once more. For maps it doubles with each time: a
-/// link that is full of resends delays the answers to all of them, and more resends follow, until a
-/// large group stands still for good. The map in force under another version, which a held group is
-/// brought to, is a message without changes.
-milliseconds pauseBefore(const GroupSwitch &group, const SwitchTiming &timing, const RankView &view,
-                         const RankOrder &order, std::uint32_t timesRequested)
+/// Returns the pause before the same order is sent to a rank again. For an order to prepare it
+/// doubles with each attempt: a link that is saturated with resends delays all replies, which
+/// causes more resends, until a large group makes no progress at all. Recovery sends the map in
+/// force under a new version, a message without changes, so its pause stays short.
+milliseconds resendIntervalFor(const GroupSwitch &group, const SwitchTiming &timing,
+                               const RankView &view, const RankOrder &order,
+                               std::uint32_t timesRequested)
 {
     constexpr std::uint32_t maxDoublings = 3;
     const bool prepares = order.kind == RankOrderKind::Prepare;
-    const bool small = group.phase == SwitchPhase::Recovering && asChanges(group, view);
+    const bool small = group.phase == SwitchPhase::Recovering && canSendAsChanges(group, view);
     if (!prepares || small)
-        return timing.resend;
+        return timing.resendInterval;
     if (view.status.accepted == order.version)
-        return timing.resendAcceptedMap;
-    return timing.resendMap * (1 << std::min(timesRequested - 1, maxDoublings));
+        return timing.acceptedMapResendInterval;
+    return timing.mapResendInterval * (1 << std::min(timesRequested - 1, maxDoublings));
 }
 
-/// Whether the sidecar beside the rank is silent while most others are heard.
-bool isSilentAlone(const GroupSwitch &group, const SwitchTiming &timing, const RankView &view,
-                   TimePoint now)
+/// Whether the rank's sidecar does not respond while at most maxDirectlyOrdered ranks are silent.
+bool isSidecarUnresponsive(const GroupSwitch &group, const SwitchTiming &timing,
+                           const RankView &view, TimePoint now)
 {
-    return now - view.receivedAt > timing.orderDirectlyAfter
-        && unresponsiveRanks(group, timing.orderDirectlyAfter, now) <= timing.maxDirectlyOrdered;
+    return now - view.receivedAt > timing.directOrderDelay
+        && unresponsiveRanks(group, timing.directOrderDelay, now) <= timing.maxDirectlyOrdered;
 }
 
 } // namespace
@@ -73,20 +74,21 @@
         && pending.pass == order.pass;
     if (!sameOrder)
         pending = {.kind = order.kind, .version = order.version, .pass = order.pass};
-    if (pending.times > 0
-        && now - pending.at < pauseBefore(group, timing, view, order, pending.times))
+    if (pending.timesRequested > 0
+        && now - pending.requestedAt
+            < resendIntervalFor(group, timing, view, order, pending.timesRequested))
         return;
-    pending.at = now;
-    ++pending.times;
+    pending.requestedAt = now;
+    ++pending.timesRequested;
     order.epoch = group.epoch;
     const bool held = group.phase == SwitchPhase::Arming || group.phase == SwitchPhase::Recovering
         || group.phase == SwitchPhase::Releasing;
-    // The leader itself has the group held and lets it go: through a sidecar, the VM of the one
-    // that knows and of the one that is held could freeze together.
+    // The leader sends holds and releases directly to the engine. If a sidecar did it, one frozen
+    // VM could stop both the sidecar that knows of the hold and the engine that holds.
     const bool ofHold = order.kind == RankOrderKind::Hold || order.kind == RankOrderKind::Release;
-    const bool direct =
-        (ofHold && rank != group.ownRank) || (held && isSilentAlone(group, timing, view, now));
-    const bool changes = order.kind == RankOrderKind::Prepare && asChanges(group, view);
+    const bool direct = (ofHold && rank != group.ownRank)
+        || (held && isSidecarUnresponsive(group, timing, view, now));
+    const bool changes = order.kind == RankOrderKind::Prepare && canSendAsChanges(group, view);
     update.actions.push_back({rank, view.status.engine, std::move(order), direct, changes});
 }
 
--- a/Source/Version/SwitchOrders.h
+++ b/Source/Version/SwitchOrders.h
@@ -6,22 +6,24 @@
 
 namespace wisteria {
 
-// Steps that the phases of a change share: versions, and orders that are given again.
+// Operations that the phases of a switch share: version numbers, and sending orders again.
 
-/// Begins a phase of the change.
+/// Enters a phase of the switch, and clears the pending orders.
 void enterPhase(GroupSwitch &group, SwitchPhase phase, TimePoint now);
 
-/// A version above all that are known of and that no other leader uses: each leader has the numbers
-/// that are its rank's in every thousand. Two leaders that don't know of each other once took the
-/// same number for different maps, and ranks began a pass on both.
+/// Returns a version above all known ones that no other leader uses: within each block of
+/// ranksPerVersionTick numbers a leader uses only the one at its rank's offset. If two leaders that
+/// don't know of each other used the same number for different maps, ranks could begin a pass on
+/// both maps.
 std::uint64_t newVersion(GroupSwitch &group, const LeaderIdentity &leader);
 
-/// Asks a rank for an order unless that was done a moment ago.
+/// Adds an action with the order for a rank, unless the same order was requested within its resend
+/// interval.
 void requestOrder(GroupSwitch &group, SwitchUpdate &update, const SwitchTiming &timing,
                   std::uint32_t rank, RankOrder order, TimePoint now);
 
-/// Lets the map in force be the one that changes go on from. Sidecars work out version 0 by
-/// themselves, so it has to be what they think it is.
+/// Makes the map in force the base for sending maps as changes. Sidecars compute the map of version
+/// 0 themselves, so a different map under version 0 is not used as a base.
 void setBase(GroupSwitch &group, const ExpertProfile &profile, const RankMap &current);
 
 } // namespace wisteria
--- a/Tests/Version/CountsAggregationTest.cpp
+++ b/Tests/Version/CountsAggregationTest.cpp
@@ -109,11 +109,11 @@
 {
     const TimePoint start{};
     CountsAggregation aggregation{
-        .requester = {1, 1}, .since = start, .timeout = ownAnswerTime, .awaited = 2, .sum = {}};
+        .requester = {1, 1}, .since = start, .timeout = ownReplyTime, .awaited = 2, .sum = {}};
     REQUIRE_FALSE(isDue(aggregation, start));
     addCounts(aggregation, replyFrom(1, {1, 2}));
     REQUIRE_FALSE(isDue(aggregation, start));
-    REQUIRE(isDue(aggregation, start + ownAnswerTime));
+    REQUIRE(isDue(aggregation, start + ownReplyTime));
     addCounts(aggregation, replyFrom(1, {10, 20}));
     REQUIRE(isDue(aggregation, start));
     REQUIRE(aggregation.sum.ranks == 2);
@@ -143,14 +143,14 @@
     std::vector<CountsAggregation> aggregations;
     aggregations.push_back({.requester = {1, 1},
                             .since = start,
-                            .timeout = ownAnswerTime,
+                            .timeout = ownReplyTime,
                             .awaited = 0,
                             .sum = replyFrom(1, {5})});
     aggregations.push_back(
-        {.requester = {2, 1}, .since = start, .timeout = ownAnswerTime, .awaited = 3, .sum = {}});
+        {.requester = {2, 1}, .since = start, .timeout = ownReplyTime, .awaited = 3, .sum = {}});
     aggregations.push_back({.requester = {3, 1},
                             .since = start,
-                            .timeout = ownAnswerTime,
+                            .timeout = ownReplyTime,
                             .awaited = 0,
                             .sum = replyFrom(1, {6})});
     for (const CountsAggregation &due : extractDue(aggregations, start)) {
@@ -161,6 +161,6 @@
     REQUIRE(aggregations.front().requester == Endpoint{2, 1});
     REQUIRE(aggregations.front().sum.counts == std::vector<std::uint64_t>{11});
     REQUIRE(extractDue(aggregations, start).empty());
-    REQUIRE(extractDue(aggregations, start + ownAnswerTime).size() == 1);
+    REQUIRE(extractDue(aggregations, start + ownReplyTime).size() == 1);
     REQUIRE(aggregations.empty());
 }
--- a/Tests/Version/DemandPlacementTest.cpp
+++ b/Tests/Version/DemandPlacementTest.cpp
@@ -161,8 +161,8 @@
 TEST_CASE("The sidecar listed first leads, and the second one takes over when the first is silent")
 {
     const TimePoint start{seconds(10)};
-    LeaderElection first{.higherPriorityHeardAt = {}, .since = start};
-    LeaderElection second{.higherPriorityHeardAt = {}, .since = start};
+    LeaderElection first{.higherPriorityHeardAt = {}, .listeningSince = start};
+    LeaderElection second{.higherPriorityHeardAt = {}, .listeningSince = start};
     REQUIRE_FALSE(isLeader(first, 0, start + milliseconds(900)));
     REQUIRE(isLeader(first, 0, start + milliseconds(1050)));
     REQUIRE_FALSE(isLeader(second, 1, start + milliseconds(1050)));
--- a/Tests/Version/FleetTrafficTest.cpp
+++ b/Tests/Version/FleetTrafficTest.cpp
@@ -27,10 +27,10 @@
 
 } // namespace
 
-// Each gateway told each sidecar the whole list of engines with each hello, 1.7 KB for 192 of them:
-// what crossed failure domains grew with gateways times engines squared, and was the dearest thing
-// of a fleet of that size.
-TEST_CASE("A hello names a list of engines in the same few bytes, however many there are")
+// Guards against hellos that contain the engine list, 1.7 KB for 192 engines. Traffic across
+// failure domains then grows with gateways times engines squared, and was the largest cost of a
+// fleet of that size.
+TEST_CASE("A hello has the same few bytes however many engines the list has")
 {
     const auto helloBytes = [](std::uint32_t engines) {
         return encodeMessage(GatewayHello{.listDigest = digestOf(fleet(engines))}).size();
@@ -41,15 +41,16 @@
     REQUIRE(digestOf(fleet(rankCount)) != digestOf(fleet(rankCount - 1)));
 }
 
-// While gateways learn of a new engine one after the other, a sidecar hears of the old list and the
-// new one in turn. It must end with the new one, and not fetch a list for each hello meanwhile.
-TEST_CASE("A sidecar before 36 gateways that differ fetches few lists and ends with the new one")
+// Guards against a list request for each hello, and against a sidecar that keeps the old list.
+// While gateways learn of a new engine one after the other, their hellos alternate between two
+// lists.
+TEST_CASE("A sidecar requests few lists from 36 gateways that differ and ends with the new list")
 {
     const EngineList before = fleet(rankCount - 1);
     const EngineList after = fleet(rankCount);
     EngineListCache cache;
     setList(cache, before);
-    std::uint32_t fetched = 0;
+    std::uint32_t requestedLists = 0;
     const TimePoint start{seconds(100)};
     constexpr milliseconds helloPeriod{600};
     constexpr milliseconds readPeriod{900};
@@ -63,23 +64,24 @@
                 continue;
             noteListRequested(cache, now);
             setList(cache, list);
-            ++fetched;
+            ++requestedLists;
         }
     }
     REQUIRE(cache.list == after);
-    REQUIRE(fetched <= 5);
+    REQUIRE(requestedLists <= 5);
 }
 
-// A gateway of 0.18 cores took 1,920 loads a second from 192 sidecars, most of them the same as the
-// one before. Requests that end or begin are still told within a tenth of a second.
-TEST_CASE("Loads are told when they differ, and now and then when they don't")
+// Guards against an overload of gateways by load reports: one with 0.18 cores received 1,920 loads
+// a second from 192 sidecars, most of them equal to the one before. A request that begins or ends
+// must still be reported within a tenth of a second.
+TEST_CASE("Changed loads are sent within a tenth of a second, unchanged loads less often")
 {
     constexpr milliseconds reportPeriod{25};
     constexpr int reports = 400;
     std::mt19937_64 random(3);
     SentLoad sent;
     std::uint32_t messages = 0;
-    milliseconds longestUntold{0};
+    milliseconds maxReportDelay{0};
     EngineLoad load{.engine = {1, 2}, .running = 4, .gateways = gatewayCount};
     TimePoint now{seconds(100)};
     TimePoint sameSince = now;
@@ -90,24 +92,24 @@
             sameSince = now;
         }
         if (shouldReport(sent, load, now)) {
-            sent = {.load = load, .at = now};
+            sent = {.load = load, .sentAt = now};
             ++messages;
         }
         if (load != sent.load)
-            longestUntold = std::max(longestUntold, remaining(sameSince, now));
+            maxReportDelay = std::max(maxReportDelay, remaining(sameSince, now));
     }
     constexpr int lengthSeconds = 10;
     REQUIRE(messages <= 6 * lengthSeconds);
     REQUIRE(messages >= 3 * lengthSeconds);
-    REQUIRE(longestUntold < loadReportInterval);
+    REQUIRE(maxReportDelay < loadReportInterval);
 }
 
-TEST_CASE("A group that opens or closes is told at once")
+TEST_CASE("A group that opens or closes is reported at once")
 {
     const TimePoint now{seconds(100)};
     EngineLoad load{.engine = {1, 2}, .running = 4};
     REQUIRE(shouldReport({}, load, now));
-    const SentLoad sent{.load = load, .at = now};
+    const SentLoad sent{.load = load, .sentAt = now};
     REQUIRE_FALSE(shouldReport(sent, load, now + milliseconds(1)));
     load.open = false;
     REQUIRE(shouldReport(sent, load, now + milliseconds(1)));
@@ -120,8 +122,8 @@
 
 namespace {
 
-/// Longest time for which the link of any VM is busy with one message to so many sidecars, or with
-/// their answers, and the stages that it takes.
+/// Longest time that the link of any VM is busy with one message to many sidecars, or with their
+/// replies; the number of stages, and of sidecars reached.
 struct Spread
 {
     double longestLinkMilliseconds = 0;
@@ -129,8 +131,8 @@
     std::size_t reached = 0;
 };
 
-void follow(const std::vector<Endpoint> &receivers, std::size_t bytes,
-            const LinkBandwidth &bandwidth, std::size_t stage, Spread &spread)
+void addStage(const std::vector<Endpoint> &receivers, std::size_t bytes,
+              const LinkBandwidth &bandwidth, std::size_t stage, Spread &spread)
 {
     if (receivers.empty())
         return;
@@ -141,24 +143,24 @@
     spread.stages = std::max(spread.stages, stage);
     for (const RelayBranch &branch : plan) {
         ++spread.reached;
-        follow(branch.rest, bytes, bandwidth, stage + 1, spread);
+        addStage(branch.rest, bytes, bandwidth, stage + 1, spread);
     }
 }
 
 Spread spreadOf(std::size_t receivers, std::size_t bytes, const LinkBandwidth &bandwidth)
 {
     Spread spread;
-    follow(fleet(static_cast<std::uint32_t>(receivers)).engines, bytes, bandwidth, 1, spread);
+    addStage(fleet(static_cast<std::uint32_t>(receivers)).engines, bytes, bandwidth, 1, spread);
     return spread;
 }
 
 } // namespace
 
-// Streams of a group of 192 ranks paused for a second and more after each shift of demand. The
-// answers with the ranks' counts, 24 sums of 7.7 KB each 50 ms, were five times what the leader's
-// link of 6 Mbit/s bears, and each relay's link took 72 ms for its seven; statuses and orders were
-// lost or late between them.
-TEST_CASE("The counts of 192 ranks keep no link busy for half of a pass")
+// Guards against streams of a group of 192 ranks that pause for a second or more after each shift
+// of demand. Replies with the ranks' counts, 24 sums of 7.7 KB every 50 ms, were five times the
+// capacity of the leader's link of 6 Mbit/s, and took 72 ms of each relay's link for its seven
+// sums, so that statuses and orders were lost or late.
+TEST_CASE("The counts of 192 ranks keep each link busy for less than half of a pass")
 {
     constexpr double passMilliseconds = 90;
     const LinkBandwidth bandwidth = linkBandwidthOf(6);
@@ -173,10 +175,11 @@
     REQUIRE(spread.reached == rankCount - 1);
     REQUIRE(spread.longestLinkMilliseconds < passMilliseconds / 2);
     REQUIRE(spread.stages <= 3);
-    REQUIRE(gatherTime(rankCount - 1, bytes, bandwidth) < milliseconds(160));
+    REQUIRE(aggregationTime(rankCount - 1, bytes, bandwidth) < milliseconds(160));
 }
 
-TEST_CASE("A map for 192 ranks keeps no link busy for long, and few ranks need no relays")
+TEST_CASE(
+    "A map for 192 ranks keeps each link busy for less than 45 ms, and few ranks need no relays")
 {
     constexpr std::size_t mapBytes = 4000;
     const Spread spread = spreadOf(rankCount - 1, mapBytes, linkBandwidthOf(6));
@@ -187,19 +190,19 @@
     REQUIRE(spreadOf(15, smallCounts, linkBandwidthOf(20)).stages == 1);
 }
 
-// A failure domain loses power, and with it the first 39 of the list. All others but the first
-// twenty used to wait for the same time, so 153 sidecars led at once: each asked all ranks for
-// their state and their counts, and prepared maps against the others.
-TEST_CASE("When a whole failure domain is lost few sidecars lead for a moment, then one")
+// Guards against many leaders at once. A failure domain loses power, and with it the first 39
+// sidecars of the list. If all after the first twenty wait for the same time, 153 sidecars lead at
+// once, each polls all ranks for statuses and counts, and they prepare competing maps.
+TEST_CASE("After the loss of a failure domain few sidecars lead for a moment, then only one")
 {
     constexpr std::size_t lost = 39;
-    constexpr milliseconds pollTakes{40};
+    constexpr milliseconds pollDelay{40};
     constexpr milliseconds tick{25};
-    std::vector<LeaderElection> elections(rankCount,
-                                          LeaderElection{.higherPriorityHeardAt = {}, .since = {}});
+    std::vector<LeaderElection> elections(
+        rankCount, LeaderElection{.higherPriorityHeardAt = {}, .listeningSince = {}});
     std::vector<std::pair<TimePoint, std::size_t>> polls;
-    std::size_t mostAtOnce = 0;
-    std::size_t leadingNow = 0;
+    std::size_t maxLeaders = 0;
+    std::size_t leaders = 0;
     for (TimePoint now{}; now < TimePoint{seconds(12)}; now += tick) {
         for (const auto &[at, from] : polls) {
             if (at > now || now - at >= tick)
@@ -207,40 +210,40 @@
             for (std::size_t position = from + 1; position < rankCount; ++position)
                 noteHigherPriorityLeader(elections[position], now);
         }
-        leadingNow = 0;
+        leaders = 0;
         for (std::size_t position = lost; position < rankCount; ++position) {
             if (!isLeader(elections[position], position, now))
                 continue;
-            ++leadingNow;
-            polls.emplace_back(now + pollTakes, position);
+            ++leaders;
+            polls.emplace_back(now + pollDelay, position);
         }
-        mostAtOnce = std::max(mostAtOnce, leadingNow);
+        maxLeaders = std::max(maxLeaders, leaders);
     }
-    REQUIRE(mostAtOnce <= 4);
-    REQUIRE(leadingNow == 1);
+    REQUIRE(maxLeaders <= 4);
+    REQUIRE(leaders == 1);
 }
 
-// Engines left half of the orders unanswered for eight seconds, and each new map of 192 ranks was
-// prepared after one to two seconds: a sidecar gave up after six tries, and the pauses after which
-// the leader asks again double. All ranks wait for the last one.
+// Guards against slow switches. Engines left half of the orders unanswered for eight seconds, and a
+// new map for 192 ranks took one to two seconds to prepare: a sidecar gave up after six attempts,
+// the leader's resend interval doubles, and all ranks wait for the last one.
 TEST_CASE(
-    "With half of the orders unanswered nearly all of 192 ranks have theirs within half a second")
+    "With half of the orders unanswered all 192 ranks mostly have theirs within half a second")
 {
     constexpr int runs = 200;
     std::mt19937_64 random(11);
-    int onTime = 0;
+    int inTime = 0;
     int leftToLeader = 0;
     for (int run = 0; run < runs; ++run) {
-        int mostTries = 0;
+        int maxAttempts = 0;
         for (std::uint32_t rank = 0; rank < rankCount; ++rank) {
-            int tries = 1;
-            while (random() % 2 == 0 && shouldResend(tries))
-                ++tries;
-            mostTries = std::max(mostTries, tries);
+            int attempts = 1;
+            while (random() % 2 == 0 && shouldResend(attempts))
+                ++attempts;
+            maxAttempts = std::max(maxAttempts, attempts);
         }
-        onTime += orderTimeout * mostTries <= milliseconds(500) ? 1 : 0;
-        leftToLeader += shouldResend(mostTries) ? 0 : 1;
+        inTime += orderTimeout * maxAttempts <= milliseconds(500) ? 1 : 0;
+        leftToLeader += shouldResend(maxAttempts) ? 0 : 1;
     }
-    REQUIRE(onTime >= runs * 9 / 10);
+    REQUIRE(inTime >= runs * 9 / 10);
     REQUIRE(leftToLeader <= runs / 50);
 }
--- a/Tests/Version/RankGroupWorld.h
+++ b/Tests/Version/RankGroupWorld.h
@@ -23,44 +23,48 @@
                                    .copiesPerMap = 2,
                                    .copyMilliseconds = 100};
 
-/// What goes wrong in one run.
-struct Trouble
+/// Faults that are injected in one run.
+struct Faults
 {
-    /// Share of orders without an answer, carried out up to three seconds later.
+    /// Fraction of orders that get no answer and are executed up to three seconds late.
     double lateOrders = 0;
+    /// Fraction of statuses and orders that are lost.
     double lostMessages = 0;
-    /// Share of statuses that show a rank as it was a fifth of a second before.
+    /// Fraction of statuses that contain the rank's state of a fifth of a second earlier.
     double staleStatuses = 0;
-    /// Statuses reach a leader through a queue that is up to so long at times.
-    milliseconds longestQueue{0};
-    /// The leader is replaced by one that knows nothing, each so often.
-    milliseconds leaderLife{1'000'000};
-    /// The former leader goes on for this long beside the new one.
+    /// Statuses reach a leader through a queue whose delay varies up to this value.
+    milliseconds maxQueueDelay{0};
+    /// The leader is replaced by one without any state at this interval.
+    milliseconds leaderLifetime{1'000'000};
+    /// The old leader continues for this long beside the new one.
     milliseconds overlap{0};
-    /// The first leader's VM freezes for so long, right after it has had the group held.
+    /// The first leader's VM freezes for this long right after it sends an order to hold.
     milliseconds freeze{0};
-    /// The same, right after it has begun to have ranks armed.
-    bool freezeInArming = false;
+    /// The VM freezes after the first order to arm instead.
+    bool freezeWhileArming = false;
 };
 
+/// A simulated rank.
 struct Rank
 {
     RankReport report;
     std::vector<std::uint32_t> experts;
+    /// Highest version that it was ordered to prepare.
     std::uint64_t highest = 0;
     RankMap preparedMap;
-    /// What the map in force says of all ranks; empty for the first map.
+    /// Map in force, with the experts of all ranks; empty for the first map.
     RankMap mapInForce;
-    std::uint64_t copying = 0;
+    /// Version that it copies; 0 for none.
+    std::uint64_t copyingVersion = 0;
     TimePoint copiedAt;
     std::vector<std::uint64_t> counts = std::vector<std::uint64_t>(expertCount, 0);
 };
 
-/// A rank group in virtual time that carries out orders as engines do and checks each pass.
-class World
+/// A rank group in virtual time that executes orders as engines do and checks each pass.
+class RankGroupWorld
 {
 public:
-    World(std::uint64_t seed, const Trouble &trouble) : trouble_(trouble), random_(seed)
+    RankGroupWorld(std::uint64_t seed, const Faults &faults) : faults_(faults), random_(seed)
     {
         for (std::uint32_t rank = 0; rank < rankCount; ++rank) {
             ranks_[rank].report = {
@@ -69,7 +73,7 @@
                 ranks_[rank].experts.push_back(expert);
         }
         leaders_.push_back({GroupSwitch{}, TimePoint::max()});
-        leaderBornAt_ = now_;
+        leaderStartedAt_ = now_;
     }
 
     void run(milliseconds length)
@@ -78,46 +82,51 @@
         while (now_ < end) {
             now_ += milliseconds(5);
             replaceLeader();
-            deliver();
+            runDueEvents();
             finishCopies();
             if (now_ >= nextPassAt_)
                 beginPass();
-            tellStatuses();
+            sendStatuses();
             for (Leader &leader : leaders_)
                 advance(leader);
-            longestHold_ = std::max(longestHold_, remaining(lastPassAt_, now_));
+            maxPassInterval_ = std::max(maxPassInterval_, remaining(lastPassAt_, now_));
         }
     }
 
-    bool mixed() const { return mixed_; }
-    milliseconds longestHold() const { return longestHold_; }
-    bool froze() const { return froze_; }
-    /// All ranks but the frozen leader's were armed: nobody can tell whether that one was.
-    bool othersArmed() const { return othersArmed_; }
+    /// Whether any pass began while two ranks had different maps.
+    bool beganMixedPass() const { return beganMixedPass_; }
+    /// Longest time during which no pass began.
+    milliseconds maxPassInterval() const { return maxPassInterval_; }
+    bool leaderFroze() const { return leaderFroze_; }
+    /// Whether all ranks but the frozen leader's were armed, so that it is unknown whether that
+    /// rank was armed too.
+    bool allOthersArmed() const { return allOthersArmed_; }
+    /// Number of switches that came into force.
     std::uint32_t switches() const { return switches_; }
 
-    /// Tells the rank's holder to hold, as a leader that is gone did.
-    void holdByNobody() { ranks_[1].report.heldPass = ranks_[1].report.pass + 2; }
+    /// Makes rank 1 hold the group, as ordered by a leader that no longer exists.
+    void addOrphanedHold() { ranks_[1].report.heldPass = ranks_[1].report.pass + 2; }
 
-    /// Has a rank take a version of its own, as late orders do, while the group is being let go.
-    void overtake(std::uint32_t rank, std::uint64_t version)
+    /// Makes a rank prepare a higher version while the group is being released, as a late order
+    /// does.
+    void prepareHigherVersion(std::uint32_t rank, std::uint64_t version)
     {
-        later(milliseconds(60), [this, rank, version] {
+        schedule(milliseconds(60), [this, rank, version] {
             ranks_[rank].highest = version;
-            ranks_[rank].copying = 0;
+            ranks_[rank].copyingVersion = 0;
             ranks_[rank].report.prepared = version;
         });
     }
 
-    /// Has one rank armed alone behind a hold, as a leader that died half-way left it.
-    void armHalf()
+    /// Arms one of the ranks during a hold, as if the leader died while arming.
+    void armOneRank()
     {
         for (Rank &rank : ranks_) {
             rank.highest = 5;
             rank.report.prepared = 5;
             rank.preparedMap = {{{0, 4}, {1, 5}, {2, 6}, {3, 7}}};
         }
-        holdByNobody();
+        addOrphanedHold();
         ranks_[2].report.armed = 5;
         ranks_[2].report.armedPass = *ranks_[1].report.heldPass;
     }
@@ -141,22 +150,22 @@
         std::function<void()> run;
     };
 
-    bool chance(double share)
+    bool occurs(double probability)
     {
-        return std::uniform_real_distribution<double>(0, 1)(random_) < share;
+        return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
     }
 
-    milliseconds between(int low, int high)
+    milliseconds randomDelay(int low, int high)
     {
         return milliseconds(std::uniform_int_distribution<int>(low, high)(random_));
     }
 
-    void later(milliseconds delay, std::function<void()> run)
+    void schedule(milliseconds delay, std::function<void()> run)
     {
         events_.push_back({now_ + delay, std::move(run)});
     }
 
-    void deliver()
+    void runDueEvents()
     {
         std::vector<Event> due;
         std::erase_if(events_, [&](Event &event) {
@@ -172,15 +181,15 @@
     void replaceLeader()
     {
         std::erase_if(leaders_, [this](const Leader &leader) { return leader.until <= now_; });
-        if (now_ - leaderBornAt_ < trouble_.leaderLife)
+        if (now_ - leaderStartedAt_ < faults_.leaderLifetime)
             return;
-        leaderBornAt_ = now_;
+        leaderStartedAt_ = now_;
         for (Leader &leader : leaders_)
-            leader.until = std::min(leader.until, now_ + trouble_.overlap);
+            leader.until = std::min(leader.until, now_ + faults_.overlap);
         leaders_.push_back({GroupSwitch{}, TimePoint::max(), ++lastLeader_ % rankCount});
     }
 
-    /// The engine beside a leader whose VM stands still can't be reached.
+    /// Whether the rank can't be reached because it is beside a leader whose VM is frozen.
     bool frozen(std::uint32_t rank) const
     {
         return std::any_of(leaders_.begin(), leaders_.end(), [&](const Leader &leader) {
@@ -188,40 +197,40 @@
         });
     }
 
-    bool armedBut(std::uint32_t rank) const
+    bool allArmedExcept(std::uint32_t rank) const
     {
         return std::all_of(ranks_.begin(), ranks_.end(), [rank](const Rank &other) {
             return other.report.rank == rank || other.report.armed != 0;
         });
     }
 
-    /// Freezes the VM of the first leader once it has given such an order, and lets the next one
-    /// lead after the time in which its silence is noticed.
-    void freezeAfter(Leader &leader, RankOrderKind kind)
+    /// Freezes the VM of the first leader once it has sent an order of the chosen kind, and starts
+    /// the next leader after the election timeout.
+    void freezeLeaderAfter(Leader &leader, RankOrderKind kind)
     {
-        const auto wanted = trouble_.freezeInArming ? RankOrderKind::Arm : RankOrderKind::Hold;
-        const bool settled = now_ - leaderBornAt_ > seconds(3);
-        if (trouble_.freeze == milliseconds(0) || froze_ || !settled || kind != wanted)
+        const auto wanted = faults_.freezeWhileArming ? RankOrderKind::Arm : RankOrderKind::Hold;
+        const bool settled = now_ - leaderStartedAt_ > seconds(3);
+        if (faults_.freeze == milliseconds(0) || leaderFroze_ || !settled || kind != wanted)
             return;
-        froze_ = true;
-        leader.frozenFrom = now_ + between(0, 25);
-        leader.frozenUntil = leader.frozenFrom + trouble_.freeze;
+        leaderFroze_ = true;
+        leader.frozenFrom = now_ + randomDelay(0, 25);
+        leader.frozenUntil = leader.frozenFrom + faults_.freeze;
         leader.until = leader.frozenUntil + milliseconds(300);
-        later(remaining(now_, leader.frozenUntil) - milliseconds(5),
-              [this, own = leader.rank] { othersArmed_ = armedBut(own); });
-        later(remaining(now_, leader.frozenFrom) + leaderTimeoutWhileHeld + milliseconds(25),
-              [this] {
-                  leaders_.push_back({GroupSwitch{}, TimePoint::max(), holderOf(0, rankCount)});
-              });
+        schedule(remaining(now_, leader.frozenUntil) - milliseconds(5),
+                 [this, own = leader.rank] { allOthersArmed_ = allArmedExcept(own); });
+        schedule(remaining(now_, leader.frozenFrom) + leaderTimeoutWhileHeld + milliseconds(25),
+                 [this] {
+                     leaders_.push_back({GroupSwitch{}, TimePoint::max(), holderOf(0, rankCount)});
+                 });
     }
 
     void finishCopies()
     {
         for (Rank &rank : ranks_) {
-            if (rank.copying == 0 || now_ < rank.copiedAt)
+            if (rank.copyingVersion == 0 || now_ < rank.copiedAt)
                 continue;
-            rank.report.prepared = rank.copying;
-            rank.copying = 0;
+            rank.report.prepared = rank.copyingVersion;
+            rank.copyingVersion = 0;
         }
     }
 
@@ -232,12 +241,12 @@
             if (rank.report.heldPass == pass)
                 return;
         }
-        nextPassAt_ = now_ + between(30, 60);
+        nextPassAt_ = now_ + randomDelay(30, 60);
         lastPassAt_ = now_;
         for (Rank &rank : ranks_)
             beginPass(rank, pass);
         for (const Rank &rank : ranks_)
-            mixed_ = mixed_ || rank.report.map != ranks_.front().report.map
+            beganMixedPass_ = beganMixedPass_ || rank.report.map != ranks_.front().report.map
                 || rank.mapInForce != ranks_.front().mapInForce;
     }
 
@@ -263,11 +272,11 @@
     {
         const bool same = std::is_permutation(wanted.begin(), wanted.end(), rank.experts.begin(),
                                               rank.experts.end());
-        return same ? milliseconds(0) : between(50, 300);
+        return same ? milliseconds(0) : randomDelay(50, 300);
     }
 
-    /// Carries an order out as an engine does.
-    void carryOut(Rank &rank, const RankOrder &order)
+    /// Executes an order as an engine does.
+    void execute(Rank &rank, const RankOrder &order)
     {
         RankReport &report = rank.report;
         const bool begun = order.pass <= report.pass;
@@ -278,7 +287,7 @@
             if (order.version <= rank.highest || report.armed != 0)
                 return;
             rank.highest = order.version;
-            rank.copying = order.version;
+            rank.copyingVersion = order.version;
             rank.copiedAt = now_ + copyTime(rank, order.map[0][report.rank]);
             rank.preparedMap = order.map;
             report.prepared = 0;
@@ -314,49 +323,49 @@
         return status;
     }
 
-    /// The status as a leader hears it, which may be an old state told as a new one.
-    RankStatus toldStatus(const Rank &rank)
+    /// Returns the status that is sent, which may be an old state with a new time.
+    RankStatus reportedStatus(const Rank &rank)
     {
         RankStatus status = statusOf(rank);
-        std::deque<RankStatus> &past = told_[rank.report.rank];
+        std::deque<RankStatus> &past = sentStatuses_[rank.report.rank];
         past.push_back(status);
         constexpr std::size_t kept = 5;
         if (past.size() > kept)
             past.pop_front();
-        if (!chance(trouble_.staleStatuses))
+        if (!occurs(faults_.staleStatuses))
             return status;
         RankStatus stale = past.front();
         stale.readAtMilliseconds = status.readAtMilliseconds;
         return stale;
     }
 
-    void tellStatuses()
+    void sendStatuses()
     {
-        if (now_ < nextTellAt_)
+        if (now_ < nextStatusAt_)
             return;
-        nextTellAt_ = now_ + milliseconds(40);
+        nextStatusAt_ = now_ + milliseconds(40);
         for (const Rank &rank : ranks_) {
             if (frozen(rank.report.rank))
                 continue;
-            const RankStatus status = toldStatus(rank);
+            const RankStatus status = reportedStatus(rank);
             for (std::size_t leader = 0; leader < leaders_.size(); ++leader) {
-                if (chance(trouble_.lostMessages))
+                if (occurs(faults_.lostMessages))
                     continue;
                 const CountsReply counts{
                     .group = "g", .epoch = 1, .ranks = 1, .passes = 1, .counts = rank.counts};
-                const RankStatus told = withoutKnown(leaders_[leader].group, status);
-                later(between(1, 30) + queue(leader), [this, leader, told, counts] {
+                const RankStatus sent = withoutKnownExperts(leaders_[leader].group, status);
+                schedule(randomDelay(1, 30) + queueDelay(leader), [this, leader, sent, counts] {
                     if (leader >= leaders_.size() || leaders_[leader].frozen(now_))
                         return;
-                    applyStatus(leaders_[leader].group, told, now_);
+                    applyStatus(leaders_[leader].group, sent, now_);
                     addDemand(leaders_[leader].group, profile, SwitchTiming{}, counts, now_);
                 });
             }
         }
     }
 
-    /// The status as a sidecar tells it whose leader knows the map.
-    static RankStatus withoutKnown(const GroupSwitch &leader, RankStatus status)
+    /// Returns the status as a sidecar sends it: without experts if the leader knows the map.
+    static RankStatus withoutKnownExperts(const GroupSwitch &leader, RankStatus status)
     {
         const std::vector<std::uint64_t> known = knownMaps(leader);
         if (std::find(known.begin(), known.end(), status.report.map) != known.end())
@@ -364,14 +373,15 @@
         return status;
     }
 
-    /// Present length of the queue before a leader: it grows and shrinks within some seconds.
-    milliseconds queue(std::size_t leader) const
+    /// Returns the current delay of the queue before a leader, which rises and falls in four
+    /// seconds.
+    milliseconds queueDelay(std::size_t leader) const
     {
         constexpr double periodSeconds = 4;
         const double at = secondsOf(remaining(TimePoint(), now_)) + static_cast<double>(leader);
         const double wave = std::sin(at * 2 * std::acos(-1.0) / periodSeconds);
         return milliseconds(static_cast<int>(std::max(0.0, wave)
-                                             * static_cast<double>(trouble_.longestQueue.count())));
+                                             * static_cast<double>(faults_.maxQueueDelay.count())));
     }
 
     void advance(Leader &leader)
@@ -382,38 +392,39 @@
         const SwitchUpdate update = advanceSwitch(leader.group, profile, bounds_, SwitchTiming{},
                                                   {.rank = leader.rank, .versionTick = tick}, now_);
         for (const SwitchAction &action : update.actions) {
-            if (chance(trouble_.lostMessages))
+            if (occurs(faults_.lostMessages))
                 continue;
-            freezeAfter(leader, action.order.kind);
-            const bool late = chance(trouble_.lateOrders);
+            freezeLeaderAfter(leader, action.order.kind);
+            const bool late = occurs(faults_.lateOrders);
             RankOrder order = action.order;
             if (order.kind == RankOrderKind::Prepare)
                 order.map = leader.group.map;
-            later(late ? between(300, 3000) : between(1, 12), [this, order, rank = action.rank] {
-                if (!frozen(rank))
-                    carryOut(ranks_[rank], order);
-            });
+            schedule(late ? randomDelay(300, 3000) : randomDelay(1, 12),
+                     [this, order, rank = action.rank] {
+                         if (!frozen(rank))
+                             execute(ranks_[rank], order);
+                     });
         }
     }
 
-    Trouble trouble_;
+    Faults faults_;
     std::mt19937_64 random_;
     TimePoint now_{seconds(1000)};
     std::vector<Rank> ranks_ = std::vector<Rank>(rankCount);
     std::deque<Leader> leaders_;
     std::vector<Event> events_;
-    std::map<std::uint32_t, std::deque<RankStatus>> told_;
+    std::map<std::uint32_t, std::deque<RankStatus>> sentStatuses_;
     PlacementBounds bounds_{
         .minGain = 0.1, .minGainPerCopySecond = 0.01, .copyTime = milliseconds(200)};
-    TimePoint leaderBornAt_;
+    TimePoint leaderStartedAt_;
     TimePoint nextPassAt_;
-    TimePoint nextTellAt_;
+    TimePoint nextStatusAt_;
     TimePoint lastPassAt_ = now_;
-    milliseconds longestHold_{0};
-    bool mixed_ = false;
+    milliseconds maxPassInterval_{0};
+    bool beganMixedPass_ = false;
     std::uint32_t lastLeader_ = 0;
-    bool froze_ = false;
-    bool othersArmed_ = false;
+    bool leaderFroze_ = false;
+    bool allOthersArmed_ = false;
     std::uint32_t switches_ = 0;
 };
 
--- a/Tests/Version/RankSwitchTest.cpp
+++ b/Tests/Version/RankSwitchTest.cpp
@@ -6,119 +6,122 @@
 
 using namespace wisteria;
 
-TEST_CASE("A quiet group follows demand and is hardly held")
+TEST_CASE("A group without faults follows demand and is held only for a moment")
 {
-    World world(1, {});
+    RankGroupWorld world(1, {});
     world.run(seconds(30));
-    REQUIRE_FALSE(world.mixed());
+    REQUIRE_FALSE(world.beganMixedPass());
     REQUIRE(world.switches() >= 5);
-    REQUIRE(world.longestHold() < milliseconds(250));
+    REQUIRE(world.maxPassInterval() < milliseconds(250));
 }
 
-// Callers would see every stream of a group stop for seconds. Orders to ranks get no answer and are
-// carried out seconds later, after newer ones; a leader that believed an order lost, or let the
-// group go before each rank was seen armed, would let a pass begin on two maps.
-TEST_CASE("Orders that are carried out seconds late never bring a pass on two maps")
+// Guards against a pass with two maps in force, and against streams that stop for seconds. Orders
+// get no answer and are executed seconds later, after newer ones. The first fault occurs if the
+// leader takes such an order for lost, or releases the group before it has seen each rank armed.
+TEST_CASE("Orders that are executed seconds late never cause a pass with two maps")
 {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        World world(seed, {.lateOrders = 0.35, .lostMessages = 0.1});
+        RankGroupWorld world(seed, {.lateOrders = 0.35, .lostMessages = 0.1});
         world.run(seconds(20));
-        CAPTURE(seed, world.longestHold().count());
-        REQUIRE_FALSE(world.mixed());
+        CAPTURE(seed, world.maxPassInterval().count());
+        REQUIRE_FALSE(world.beganMixedPass());
         REQUIRE(world.switches() >= 1);
-        REQUIRE(world.longestHold() < seconds(2));
+        REQUIRE(world.maxPassInterval() < seconds(2));
     }
 }
 
-// Every stream of a group stops for good. The leader's VM dies between hold and go, or freezes and
-// wakes up beside its successor; the hold has no time limit, so whoever follows must find it.
-TEST_CASE("Leaders that die at any moment, or go on beside the next one, leave no group held")
+// Guards against a group that is held forever, with all its streams stopped. The leader's VM dies
+// between hold and release, or freezes and resumes beside its successor. A hold has no timeout, so
+// the next leader must find and recover it.
+TEST_CASE("A leader that dies at any moment, or overlaps with the next one, leaves no group held")
 {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        World world(seed,
-                    {.lateOrders = 0.2,
-                     .lostMessages = 0.1,
-                     .leaderLife = milliseconds(730),
-                     .overlap = milliseconds(seed % 2 == 0 ? 0 : 400)});
+        RankGroupWorld world(seed,
+                             {.lateOrders = 0.2,
+                              .lostMessages = 0.1,
+                              .leaderLifetime = milliseconds(730),
+                              .overlap = milliseconds(seed % 2 == 0 ? 0 : 400)});
         world.run(seconds(20));
-        CAPTURE(seed, world.longestHold().count());
-        REQUIRE_FALSE(world.mixed());
-        REQUIRE(world.longestHold() < seconds(3));
+        CAPTURE(seed, world.maxPassInterval().count());
+        REQUIRE_FALSE(world.beganMixedPass());
+        REQUIRE(world.maxPassInterval() < seconds(3));
     }
 }
 
-// Every stream of a group stopped for 34 seconds, until all was restarted. A status showed a rank
-// as it was before its copies were complete; the leader took the version for lost there and
-// prepared another one, which ranks refuse that were armed in the meantime.
-TEST_CASE("Old states that are told as new ones leave no group held")
+// Guards against a group whose streams all stop, for 34 seconds until a restart. A status with a
+// new time contained a rank's state before its copies were complete. The leader took the version
+// for lost and prepared another one, which the ranks armed meanwhile refuse.
+TEST_CASE("Old states that are sent with a new time leave no group held")
 {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        World world(seed, {.lateOrders = 0.05, .lostMessages = 0.05, .staleStatuses = 0.15});
+        RankGroupWorld world(seed,
+                             {.lateOrders = 0.05, .lostMessages = 0.05, .staleStatuses = 0.15});
         world.run(seconds(20));
-        CAPTURE(seed, world.longestHold().count());
-        REQUIRE_FALSE(world.mixed());
+        CAPTURE(seed, world.maxPassInterval().count());
+        REQUIRE_FALSE(world.beganMixedPass());
         REQUIRE(world.switches() >= 1);
-        REQUIRE(world.longestHold() < seconds(3));
+        REQUIRE(world.maxPassInterval() < seconds(3));
     }
 }
 
-// A quotation's stream turns to nonsense: ranks began a pass on two maps. The links of two leaders
-// were seconds behind, so one saw ranks as they were before their copies were complete, took the
-// version for lost and disarmed them, while the other had seen all of them armed and let them go.
-TEST_CASE("Leaders whose links are seconds behind never bring a pass on two maps")
+// Guards against a pass with two maps in force, which corrupts the output of streams. The links of
+// two leaders are seconds behind. One sees ranks before their copies are complete, takes the
+// version for lost and disarms them, while the other has seen all of them armed and releases the
+// group.
+TEST_CASE("Leaders whose links are seconds behind never cause a pass with two maps")
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-        World world(seed,
-                    {.lateOrders = 0.1,
-                     .lostMessages = 0.1,
-                     .longestQueue = milliseconds(seed % 2 == 0 ? 800 : 3000),
-                     .leaderLife = milliseconds(2500),
-                     .overlap = milliseconds(2400)});
+        RankGroupWorld world(seed,
+                             {.lateOrders = 0.1,
+                              .lostMessages = 0.1,
+                              .maxQueueDelay = milliseconds(seed % 2 == 0 ? 800 : 3000),
+                              .leaderLifetime = milliseconds(2500),
+                              .overlap = milliseconds(2400)});
         world.run(seconds(20));
-        CAPTURE(seed, world.longestHold().count());
-        REQUIRE_FALSE(world.mixed());
-        REQUIRE(world.longestHold() < seconds(8));
+        CAPTURE(seed, world.maxPassInterval().count());
+        REQUIRE_FALSE(world.beganMixedPass());
+        REQUIRE(world.maxPassInterval() < seconds(8));
     }
 }
 
-TEST_CASE("A hold that nobody owns is let go within a second")
+TEST_CASE("A hold without a live leader is released within a second")
 {
-    World world(7, {});
+    RankGroupWorld world(7, {});
     world.run(seconds(3));
-    world.holdByNobody();
+    world.addOrphanedHold();
     world.run(seconds(2));
-    REQUIRE_FALSE(world.mixed());
-    REQUIRE(world.longestHold() < seconds(1));
+    REQUIRE_FALSE(world.beganMixedPass());
+    REQUIRE(world.maxPassInterval() < seconds(1));
 }
 
-// Every stream of a group stops for good. A leader whose clock was ahead had a rank prepare a high
-// version and died; its successor, in the middle of letting a held group go, asks that rank for
-// lower ones, which it refuses for ever.
+// Guards against a group that is held forever. A leader whose clock is ahead orders a rank to
+// prepare a high version and dies. Its successor, while it releases a held group, orders that rank
+// to prepare lower versions, which the rank always refuses.
 TEST_CASE("A rank that has had a higher version does not keep a group held")
 {
-    World world(9, {});
+    RankGroupWorld world(9, {});
     world.run(seconds(3));
-    world.holdByNobody();
-    world.overtake(3, 90'000 * ranksPerVersionTick);
+    world.addOrphanedHold();
+    world.prepareHigherVersion(3, 90'000 * ranksPerVersionTick);
     world.run(seconds(3));
-    REQUIRE_FALSE(world.mixed());
-    REQUIRE(world.longestHold() < seconds(1));
+    REQUIRE_FALSE(world.beganMixedPass());
+    REQUIRE(world.maxPassInterval() < seconds(1));
 }
 
-TEST_CASE("A switch that its leader left half armed is carried through")
+TEST_CASE("A group whose leader died with one of the ranks armed is released within a second")
 {
-    World world(8, {});
-    world.armHalf();
+    RankGroupWorld world(8, {});
+    world.armOneRank();
     world.run(seconds(2));
-    REQUIRE_FALSE(world.mixed());
-    REQUIRE(world.longestHold() < seconds(1));
+    REQUIRE_FALSE(world.beganMixedPass());
+    REQUIRE(world.maxPassInterval() < seconds(1));
 }
 
-// A leader whose own link was behind took the sidecars of 192 ranks for silent and ordered each
-// engine itself: 1,000 connections within a second, 1,584 of 1,598 orders without an answer in
-// time, while the group stood held.
+// Guards against an overload by direct orders. A leader whose own link was behind took the sidecars
+// of 192 ranks for silent and sent orders directly to each engine: 1,000 connections within a
+// second, 1,584 of 1,598 orders without an answer in time, while the group was held.
 TEST_CASE(
-    "Only a few silent ranks are ordered directly; a leader that hears nobody is itself behind")
+    "A leader sends direct orders to a few silent ranks, but to none if most ranks are silent")
 {
     constexpr std::uint32_t ranks = 192;
     const auto directOrders = [ranks](std::uint32_t silent) {
