--- a/Tests/Model/CheckModel.cmake
+++ b/Tests/Model/CheckModel.cmake
@@ -1,5 +1,6 @@
 # Checks a Promela model: cmake -DMODEL=... -DSPIN=... -DC_COMPILER=... -DWORK=... [-DVARIANT=X]
-# [-DDEFINE=NO_X] [-DREFUTE=ON] -P CheckModel.cmake. With REFUTE the check passes only if a violation is found.
+# [-DDEFINE=NO_X] [-DREFUTE=ON] -P CheckModel.cmake. With REFUTE the check passes only if spin finds
+# an assertion violation.
 file(REMOVE_RECURSE "${WORK}")
 file(MAKE_DIRECTORY "${WORK}")
 set(define)
@@ -10,7 +11,7 @@
   execute_process(COMMAND ${ARGN} WORKING_DIRECTORY "${WORK}" OUTPUT_VARIABLE output
     ERROR_VARIABLE errors RESULT_VARIABLE result)
   if(NOT result EQUAL 0)
-    message(FATAL_ERROR "${ARGN} ended with ${result}:\n${output}${errors}")
+    message(FATAL_ERROR "${ARGN} exited with ${result}:\n${output}${errors}")
   endif()
   set(output "${output}" PARENT_SCOPE)
 endfunction()
@@ -22,10 +23,10 @@
 string(REGEX MATCH "[0-9.e+]+ states, stored" states "${output}")
 message(STATUS "${found}, ${states}")
 if(output MATCHES "max search depth too small|out of memory")
-  message(FATAL_ERROR "the search was not complete:\n${output}")
+  message(FATAL_ERROR "the search is incomplete:\n${output}")
 endif()
 if(REFUTE AND NOT violated)
-  message(FATAL_ERROR "expected a counterexample without the guard ${DEFINE}:\n${output}")
+  message(FATAL_ERROR "no counterexample was found without the guard ${DEFINE}:\n${output}")
 elseif(NOT REFUTE AND NOT found STREQUAL "errors: 0")
-  message(FATAL_ERROR "the model does not hold:\n${output}")
+  message(FATAL_ERROR "the model has errors:\n${output}")
 endif()
--- a/Tests/Model/RankSwitch.pml
+++ b/Tests/Model/RankSwitch.pml
@@ -1,124 +1,132 @@
-/* Switches of a group's expert map with two ranks and two leaders that know nothing of each other.
+/* Switch of a group's expert map, with two ranks and two leaders that don't know of each other.
  *
- * Every order that was ever given may be carried out at any later moment, any number of times and in
- * any order; a leader's view of a rank may be arbitrarily old. A leader may do whatever its guards
- * allow, at any moment, so every order of the real phases is among what is checked, and a leader that
- * dies is one that does nothing more. Checked: no pass begins while two ranks have different maps.
- * Not modelled: copying, epochs, progress (the tests in virtual time cover them).
+ * Every order that was ever sent may be executed at any later time, any number of times and in any
+ * sequence; a leader's view of a rank may be arbitrarily old. A leader may do anything that its
+ * guards allow, at any time. So every sequence of the real phases is checked, and a dead leader is
+ * one that does nothing more. Checked: no pass begins while two ranks have different maps. Not
+ * modelled: copying, epochs and progress, which the tests in virtual time cover.
  *
  * Each guard can be left out (-DNO_...); the checker must then find a counterexample.
  *
- * With -DSILENT_LEADER a held group may go on without the rank beside the leader that had it held,
- * as after that VM froze: each leader has another rank hold the group, the one after its own, uses a
- * pass for one version only and arms the rank beside it last. Whoever finds the group held arms
- * nothing for that pass.
+ * With -DSILENT_LEADER a held group may be released without a status of the rank beside the leader
+ * that ordered the hold, as after that VM froze. For this each leader orders the rank after its own
+ * to hold, uses a pass for one version only, and arms the rank beside itself last. A leader that
+ * finds the group held by another leader arms no rank for that pass.
  */
 #define RANKS 2
 #define LEADERS 2
-#define LAST_STEP 2
+#define LAST_PASS 2
 #define VERSIONS 3
-#define STEPS 3
+#define PASSES 3
 
-/* Ranks. What stands behind a version is its maker, as leader + 1; 0 is the first map. */
+/* State of the ranks. The content of a version is its creator, as leader + 1; 0 is the first
+ * map. */
 byte map[RANKS];
 byte content[RANKS];
 byte prepared[RANKS];
 byte preparedContent[RANKS];
 byte armed[RANKS];
-byte armedStep[RANKS];
+byte armedPass[RANKS];
 byte highest[RANKS];
 byte held[RANKS];
-/* The last pass that was begun. */
-byte step;
+/* Latest pass that was begun. */
+byte pass;
 
-/* Orders given so far, a bit for each rank. */
-byte prepares[6]; /* version * LEADERS + maker */
-byte arms[9]; /* version * STEPS + step */
+/* Orders sent so far, one bit per rank. */
+byte prepares[6]; /* version * LEADERS + creator */
+byte arms[9]; /* version * PASSES + pass */
 byte disarms[VERSIONS];
-byte holds[STEPS];
-byte gos[STEPS];
+byte holds[PASSES];
+byte releases[PASSES];
 
-/* Views, leader * RANKS + rank. */
+/* The leaders' views of the ranks, by leader * RANKS + rank. */
 bool seen[4];
 byte seenMap[4];
 byte seenPrepared[4];
 byte seenArmed[4];
-byte seenArmedStep[4];
+byte seenArmedPass[4];
 byte seenHeld[4];
 
-/* The version that each leader made last, and the pass that it arms it for. */
-byte made[LEADERS];
-byte madeStep[LEADERS];
-/* The version for which a leader had a pass held, leader * STEPS + step. */
+/* The version that each leader created last, and the pass for which it arms ranks. */
+byte created[LEADERS];
+byte armingPass[LEADERS];
+/* The version for which a leader ordered a hold of a pass, by leader * PASSES + pass. */
 byte heldFor[6];
 
 #define BIT(r) (1 << (r))
 #define AT(l, r) ((l) * RANKS + (r))
-#define SHOWS(i, v) (seenMap[i] == v || seenPrepared[i] == v || seenArmed[i] == v)
+#define HAS_VERSION(i, v) (seenMap[i] == v || seenPrepared[i] == v || seenArmed[i] == v)
 #define ABOVE(i, v) (seenMap[i] > v || seenPrepared[i] > v || seenArmed[i] > v)
-#define LACKS(i, v) (ABOVE(i, v) && !SHOWS(i, v))
+#define HAS_SUPERSEDED(i, v) (ABOVE(i, v) && !HAS_VERSION(i, v))
 #define BOTH_SEEN(l) (seen[AT(l, 0)] && seen[AT(l, 1)])
-#define BOTH_SHOW(l, v) (SHOWS(AT(l, 0), v) && SHOWS(AT(l, 1), v))
-#define ARMED_AT(i, v, s) (seenArmed[i] == v && seenArmedStep[i] == s)
-#define ALIKE(i, v, s) (ARMED_AT(i, v, s) || seenMap[i] == v)
-#define HELD_AT(l, s) (seenHeld[AT(l, 0)] == s || seenHeld[AT(l, 1)] == s)
+#define BOTH_HAVE(l, v) (HAS_VERSION(AT(l, 0), v) && HAS_VERSION(AT(l, 1), v))
+#define ARMED_AT(i, v, p) (seenArmed[i] == v && seenArmedPass[i] == p)
+#define ARMED_OR_SWITCHED(i, v, p) (ARMED_AT(i, v, p) || seenMap[i] == v)
+#define HELD_AT(l, p) (seenHeld[AT(l, 0)] == p || seenHeld[AT(l, 1)] == p)
 
-#ifdef NO_LACKING
-#define MAY_DISARM(l, v) (!SHOWS(AT(l, 0), v) || !SHOWS(AT(l, 1), v))
+/* Guard: a rank is disarmed only after a rank has superseded the version. */
+#ifdef NO_SUPERSEDED
+#define MAY_DISARM(l, v) (!HAS_VERSION(AT(l, 0), v) || !HAS_VERSION(AT(l, 1), v))
 #else
-#define MAY_DISARM(l, v) (LACKS(AT(l, 0), v) || LACKS(AT(l, 1), v))
+#define MAY_DISARM(l, v) (HAS_SUPERSEDED(AT(l, 0), v) || HAS_SUPERSEDED(AT(l, 1), v))
 #endif
 
-#ifdef NO_MAKER
+/* Guard: only the leader that created a version arms ranks for it. */
+#ifdef NO_CREATOR
 #define MAY_ARM(l, v) (v > 0)
 #else
-#define MAY_ARM(l, v) (v == made[l])
+#define MAY_ARM(l, v) (v == created[l])
 #endif
 
+/* Guard: ranks are armed only after the pass was seen held. */
 #ifdef NO_HOLD
-#define SEEN_HELD(l, s) (true)
+#define SEEN_HELD(l, p) (true)
 #else
-#define SEEN_HELD(l, s) HELD_AT(l, s)
+#define SEEN_HELD(l, p) HELD_AT(l, p)
 #endif
 
-#ifdef NO_ONE_STEP
-#define SAME_STEP(l, s) (true)
+/* Guard: a leader arms ranks for one pass only. */
+#ifdef NO_SINGLE_PASS
+#define SAME_PASS(l, p) (true)
 #else
-#define SAME_STEP(l, s) (madeStep[l] == 0 || madeStep[l] == s)
+#define SAME_PASS(l, p) (armingPass[l] == 0 || armingPass[l] == p)
 #endif
 
-#define ONE_ARMED(l, v, s) (ARMED_AT(AT(l, 0), v, s) || ARMED_AT(AT(l, 1), v, s))
+#define ONE_ARMED(l, v, p) (ARMED_AT(AT(l, 0), v, p) || ARMED_AT(AT(l, 1), v, p))
+/* Guard: a hold is released only after all ranks were seen armed or switched. */
 #ifdef NO_ALL_ARMED
-#define RELEASABLE(l, v, s) ONE_ARMED(l, v, s)
+#define RELEASABLE(l, v, p) ONE_ARMED(l, v, p)
 #else
-#define RELEASABLE(l, v, s) \
-    (ONE_ARMED(l, v, s) && ALIKE(AT(l, 0), v, s) && ALIKE(AT(l, 1), v, s))
+#define RELEASABLE(l, v, p) \
+    (ONE_ARMED(l, v, p) && ARMED_OR_SWITCHED(AT(l, 0), v, p) && ARMED_OR_SWITCHED(AT(l, 1), v, p))
 #endif
 
-/* The next version of a leader: above all that it has seen and made, and never the other's. */
+/* The next version of a leader is above all that it has seen and created. Guard: the two leaders
+ * never use the same number. */
 #ifdef NO_OWN_NUMBERS
-#define MINE(l, v) (true)
+#define OWN_NUMBER(l, v) (true)
 #else
-#define MINE(l, v) (v % LEADERS == l)
+#define OWN_NUMBER(l, v) (v % LEADERS == l)
 #endif
-#define NEW_TO(l, v) (v > made[l] && !ABOVE(AT(l, 0), v - 1) && !ABOVE(AT(l, 1), v - 1) && MINE(l, v))
+#define IS_NEW(l, v) \
+    (v > created[l] && !ABOVE(AT(l, 0), v - 1) && !ABOVE(AT(l, 1), v - 1) && OWN_NUMBER(l, v))
 
-/* Orders that a rank may carry out now; others are refused and change nothing. */
+/* Orders that a rank may execute now; others are refused and change nothing. */
 #define PREPARE(v, l) \
     atomic { \
         (prepares[(v) * LEADERS + l] & BIT(r)) && v > highest[r] && armed[r] == 0 -> \
         highest[r] = v; prepared[r] = v; preparedContent[r] = l + 1 \
     }
-#define ARM(v, s) \
+#define ARM(v, p) \
     atomic { \
-        (arms[(v) * STEPS + s] & BIT(r)) && prepared[r] == v && s > step \
-            && (armed[r] != v || armedStep[r] != s) -> \
-        armed[r] = v; armedStep[r] = s \
+        (arms[(v) * PASSES + p] & BIT(r)) && prepared[r] == v && p > pass \
+            && (armed[r] != v || armedPass[r] != p) -> \
+        armed[r] = v; armedPass[r] = p \
     }
 #define DISARM(v) \
-    atomic { (disarms[v] & BIT(r)) && armed[r] == v -> armed[r] = 0; armedStep[r] = 0 }
-#define HOLD(s) atomic { (holds[s] & BIT(r)) && held[r] == 0 && s > step -> held[r] = s }
-#define GO(s) atomic { (gos[s] & BIT(r)) && held[r] == s -> held[r] = 0 }
+    atomic { (disarms[v] & BIT(r)) && armed[r] == v -> armed[r] = 0; armedPass[r] = 0 }
+#define HOLD(p) atomic { (holds[p] & BIT(r)) && held[r] == 0 && p > pass -> held[r] = p }
+#define RELEASE(p) atomic { (releases[p] & BIT(r)) && held[r] == p -> held[r] = 0 }
 
 proctype Engine(byte r)
 {
@@ -135,8 +143,8 @@
     :: DISARM(2)
     :: HOLD(1)
     :: HOLD(2)
-    :: GO(1)
-    :: GO(2)
+    :: RELEASE(1)
+    :: RELEASE(2)
     od
 }
 
@@ -146,15 +154,15 @@
     byte r;
     do
     :: atomic {
-           step < LAST_STEP && held[0] != step + 1 && held[1] != step + 1 ->
-           step++;
+           pass < LAST_PASS && held[0] != pass + 1 && held[1] != pass + 1 ->
+           pass++;
            for (r : 0 .. RANKS - 1) {
                if
-               :: armed[r] != 0 && armedStep[r] == step ->
+               :: armed[r] != 0 && armedPass[r] == pass ->
                   map[r] = armed[r];
                   content[r] = preparedContent[r];
                   armed[r] = 0;
-                  armedStep[r] = 0;
+                  armedPass[r] = 0;
                   prepared[r] = 0;
                   preparedContent[r] = 0
                :: else
@@ -166,90 +174,96 @@
     od
 }
 
-/* Reads one rank. */
+/* Updates a leader's view of one rank. */
 #define READ(r) \
     atomic { \
         !seen[AT(l, r)] || seenMap[AT(l, r)] != map[r] || seenPrepared[AT(l, r)] != prepared[r] \
-            || seenArmed[AT(l, r)] != armed[r] || seenArmedStep[AT(l, r)] != armedStep[r] \
+            || seenArmed[AT(l, r)] != armed[r] || seenArmedPass[AT(l, r)] != armedPass[r] \
             || seenHeld[AT(l, r)] != held[r] -> \
         seen[AT(l, r)] = true; seenMap[AT(l, r)] = map[r]; seenPrepared[AT(l, r)] = prepared[r]; \
-        seenArmed[AT(l, r)] = armed[r]; seenArmedStep[AT(l, r)] = armedStep[r]; \
+        seenArmed[AT(l, r)] = armed[r]; seenArmedPass[AT(l, r)] = armedPass[r]; \
         seenHeld[AT(l, r)] = held[r] \
     }
 #ifdef SILENT_LEADER
-#define MAY_MAKE(l) (true)
+#define MAY_CREATE(l) (true)
 #else
-#define MAY_MAKE(l) BOTH_SEEN(l)
+#define MAY_CREATE(l) BOTH_SEEN(l)
 #endif
-/* Makes a version and asks both ranks to prepare it. */
-#define MAKE(v) \
+/* Creates a version and orders both ranks to prepare it. */
+#define CREATE(v) \
     atomic { \
-        MAY_MAKE(l) && NEW_TO(l, v) -> \
-        made[l] = v; madeStep[l] = 0; prepares[(v) * LEADERS + l] = 3 \
+        MAY_CREATE(l) && IS_NEW(l, v) -> \
+        created[l] = v; armingPass[l] = 0; prepares[(v) * LEADERS + l] = 3 \
     }
 #ifdef SILENT_LEADER
 #define OTHER(l) (1 - (l))
+/* Guard: a hold is ordered only after both ranks have the version. */
 #ifdef NO_PREPARED_FIRST
 #define PREPARED_FIRST(l) (true)
 #else
-#define PREPARED_FIRST(l) BOTH_SHOW(l, made[l])
+#define PREPARED_FIRST(l) BOTH_HAVE(l, created[l])
 #endif
-/* Holds a pass at the rank after its own. */
-#define ASK_HOLD(s) \
+/* Orders the rank after its own to hold a pass. */
+#define REQUEST_HOLD(p) \
     atomic { \
-        made[l] != 0 && heldFor[l * STEPS + s] == 0 && PREPARED_FIRST(l) -> \
-        heldFor[l * STEPS + s] = made[l]; holds[s] = holds[s] | BIT(OTHER(l)) \
+        created[l] != 0 && heldFor[l * PASSES + p] == 0 && PREPARED_FIRST(l) -> \
+        heldFor[l * PASSES + p] = created[l]; holds[p] = holds[p] | BIT(OTHER(l)) \
     }
-#define OWN_HOLD(l, v, s) (heldFor[(l) * STEPS + s] == v && seenHeld[AT(l, OTHER(l))] == s)
+#define OWN_HOLD(l, v, p) (heldFor[(l) * PASSES + p] == v && seenHeld[AT(l, OTHER(l))] == p)
+/* Guard: a leader arms the rank beside itself last. */
 #ifdef NO_OWN_LAST
-#define MAY_ARM_RANK(l, r, v, s) (true)
+#define MAY_ARM_RANK(l, r, v, p) (true)
 #else
-#define MAY_ARM_RANK(l, r, v, s) (r != l || ARMED_AT(AT(l, OTHER(l)), v, s))
+#define MAY_ARM_RANK(l, r, v, p) (r != l || ARMED_AT(AT(l, OTHER(l)), v, p))
 #endif
-#define ASK_ARM_RANK(r, v, s) \
+#define REQUEST_ARM_RANK(r, v, p) \
     atomic { \
-        !(arms[(v) * STEPS + s] & BIT(r)) && MAY_ARM(l, v) && BOTH_SHOW(l, v) \
-            && OWN_HOLD(l, v, s) && SAME_STEP(l, s) && MAY_ARM_RANK(l, r, v, s) -> \
-        madeStep[l] = s; arms[(v) * STEPS + s] = arms[(v) * STEPS + s] | BIT(r) \
+        !(arms[(v) * PASSES + p] & BIT(r)) && MAY_ARM(l, v) && BOTH_HAVE(l, v) \
+            && OWN_HOLD(l, v, p) && SAME_PASS(l, p) && MAY_ARM_RANK(l, r, v, p) -> \
+        armingPass[l] = p; arms[(v) * PASSES + p] = arms[(v) * PASSES + p] | BIT(r) \
     }
-/* Arms one rank after the other. */
-#define ASK_ARM(v, s) \
-    ASK_ARM_RANK(0, v, s) \
-    :: ASK_ARM_RANK(1, v, s)
-#ifdef NO_LACKING_OTHERS
-#define SURELY_UNARMED(l) (seenArmed[AT(l, l)] == 0)
+/* Orders one rank after the other to arm. */
+#define REQUEST_ARM(v, p) \
+    REQUEST_ARM_RANK(0, v, p) \
+    :: REQUEST_ARM_RANK(1, v, p)
+/* Guard: the leader's own rank has prepared a version of this leader, so it refuses older ones. */
+#ifdef NO_RECOVERY_VERSION
+#define OWN_RANK_RECOVERED(l) (seenArmed[AT(l, l)] == 0)
 #else
-#define SURELY_UNARMED(l) \
-    (seenArmed[AT(l, l)] == 0 && made[l] != 0 && seenPrepared[AT(l, l)] == made[l])
+#define OWN_RANK_RECOVERED(l) \
+    (seenArmed[AT(l, l)] == 0 && created[l] != 0 && seenPrepared[AT(l, l)] == created[l])
 #endif
-/* Lets go what the other leader has held here, whatever its own rank is. */
-#define ASK_GO_WITHOUT(h) \
+/* Releases a hold that the other leader ordered, whatever the state of that leader's rank is. */
+#define REQUEST_RELEASE_WITHOUT_LEADER(h) \
     atomic { \
-        !(gos[h] & BIT(l)) && seen[AT(l, l)] && seenHeld[AT(l, l)] == h && SURELY_UNARMED(l) -> \
-        gos[h] = gos[h] | BIT(l) \
+        !(releases[h] & BIT(l)) && seen[AT(l, l)] && seenHeld[AT(l, l)] == h \
+            && OWN_RANK_RECOVERED(l) -> \
+        releases[h] = releases[h] | BIT(l) \
     }
 #else
-/* Holds a pass at its own rank. */
-#define ASK_HOLD(s) \
-    atomic { made[l] != 0 && !(holds[s] & BIT(l)) -> holds[s] = holds[s] | BIT(l) }
-#define ASK_GO_WITHOUT(h) atomic { false -> skip }
-/* Arms both ranks once both show the version and the pass is held. */
-#define ASK_ARM(v, s) \
+/* Orders its own rank to hold a pass. */
+#define REQUEST_HOLD(p) \
+    atomic { created[l] != 0 && !(holds[p] & BIT(l)) -> holds[p] = holds[p] | BIT(l) }
+#define REQUEST_RELEASE_WITHOUT_LEADER(h) atomic { false -> skip }
+/* Orders both ranks to arm after both have the version and the pass is held. */
+#define REQUEST_ARM(v, p) \
     atomic { \
-        arms[(v) * STEPS + s] == 0 && MAY_ARM(l, v) && BOTH_SHOW(l, v) && SEEN_HELD(l, s) \
-            && SAME_STEP(l, s) -> \
-        madeStep[l] = s; arms[(v) * STEPS + s] = 3 \
+        arms[(v) * PASSES + p] == 0 && MAY_ARM(l, v) && BOTH_HAVE(l, v) && SEEN_HELD(l, p) \
+            && SAME_PASS(l, p) -> \
+        armingPass[l] = p; arms[(v) * PASSES + p] = 3 \
     }
 #endif
-/* Disarms what can't be complete any more. */
-#define ASK_DISARM(v) \
+/* Disarms a version for which all ranks can no longer be armed. */
+#define REQUEST_DISARM(v) \
     atomic { \
-        disarms[v] == 0 && BOTH_SEEN(l) && v != made[l] && MAY_DISARM(l, v) -> disarms[v] = 3 \
+        disarms[v] == 0 && BOTH_SEEN(l) && v != created[l] && MAY_DISARM(l, v) -> disarms[v] = 3 \
     }
-/* Lets a held pass go when both ranks are armed alike for it or a later one. */
-#define ASK_GO(v, s, h) \
+/* Releases the hold of a pass when both ranks are armed for one version and for that pass or one
+ * common later pass. */
+#define REQUEST_RELEASE(v, p, h) \
     atomic { \
-        gos[h] != 3 && BOTH_SEEN(l) && RELEASABLE(l, v, s) && HELD_AT(l, h) -> gos[h] = 3 \
+        releases[h] != 3 && BOTH_SEEN(l) && RELEASABLE(l, v, p) && HELD_AT(l, h) -> \
+        releases[h] = 3 \
     }
 
 proctype Leader(byte l)
@@ -257,24 +271,24 @@
     do
     :: READ(0)
     :: READ(1)
-    :: MAKE(1)
-    :: MAKE(2)
-    :: ASK_HOLD(1)
-    :: ASK_HOLD(2)
-    :: ASK_ARM(1, 1)
-    :: ASK_ARM(1, 2)
-    :: ASK_ARM(2, 1)
-    :: ASK_ARM(2, 2)
-    :: ASK_DISARM(1)
-    :: ASK_DISARM(2)
-    :: ASK_GO(1, 1, 1)
-    :: ASK_GO(1, 2, 1)
-    :: ASK_GO(1, 2, 2)
-    :: ASK_GO(2, 1, 1)
-    :: ASK_GO(2, 2, 1)
-    :: ASK_GO(2, 2, 2)
-    :: ASK_GO_WITHOUT(1)
-    :: ASK_GO_WITHOUT(2)
+    :: CREATE(1)
+    :: CREATE(2)
+    :: REQUEST_HOLD(1)
+    :: REQUEST_HOLD(2)
+    :: REQUEST_ARM(1, 1)
+    :: REQUEST_ARM(1, 2)
+    :: REQUEST_ARM(2, 1)
+    :: REQUEST_ARM(2, 2)
+    :: REQUEST_DISARM(1)
+    :: REQUEST_DISARM(2)
+    :: REQUEST_RELEASE(1, 1, 1)
+    :: REQUEST_RELEASE(1, 2, 1)
+    :: REQUEST_RELEASE(1, 2, 2)
+    :: REQUEST_RELEASE(2, 1, 1)
+    :: REQUEST_RELEASE(2, 2, 1)
+    :: REQUEST_RELEASE(2, 2, 2)
+    :: REQUEST_RELEASE_WITHOUT_LEADER(1)
+    :: REQUEST_RELEASE_WITHOUT_LEADER(2)
     od
 }
 
