--- a/Tests/Gateway/DemoPlatform.cpp
+++ b/Tests/Gateway/DemoPlatform.cpp
@@ -1,7 +1,7 @@
-// The platform and its backend servers for the demo: a store, two model engines and one plain
-// service on loopback. Prints "ready store=ADDRESS" and takes orders on standard input:
-//   route        publishes a version with one more route
-//   drain ID     a backend server reports that it leaves
+// Stand-ins of the platform for the demo: a store, two model engines and one plain service on
+// loopback. Prints "ready store=ADDRESS" and reads commands from standard input:
+//   route        publishes a configuration version with one more route
+//   drain ID     marks a backend server as draining in the store
 //   runs         prints how often each backend server ran a request
 
 #include <iostream>
@@ -30,7 +30,7 @@
     return text.str();
 }
 
-/// Streams six events. The first run breaks off within its third event, as a crash does.
+/// Streams six events. The first run is cut off within its third event, as by a crash.
 void streamAnswer(const SeenRequest &request, ScriptPeer &peer, std::atomic<bool> &crashes)
 {
     const std::string last = request.header("Last-Event-Id");
--- a/Tests/Gateway/GatewayFleet.cpp
+++ b/Tests/Gateway/GatewayFleet.cpp
@@ -17,16 +17,16 @@
 
 namespace {
 
-/// Time that a gateway has to act on what a backend server said.
-constexpr milliseconds timeToTakeIn{500};
+/// Time that a gateway has to act on a signal of a backend server.
+constexpr milliseconds reactionTime{500};
 
 } // namespace
 
 GatewayFleet::GatewayFleet(std::size_t gateways)
 {
     store.put("keyed.op", "config", configurationOf(1));
-    // Addresses of their own: a port that was free a moment ago may be taken by any connection of
-    // the others.
+    // Each gateway has a separate address: on a shared one, a connection of another gateway may
+    // take a port that was free a moment ago.
     constexpr std::uint32_t firstAddress = INADDR_LOOPBACK + 256;
     for (std::size_t i = 0; i < gateways; ++i)
         callers_.push_back({firstAddress + static_cast<std::uint32_t>(i), freePort()});
@@ -69,8 +69,8 @@
     }
 }
 
-std::vector<CallResult> GatewayFleet::load(const std::string &target, int perSecond,
-                                           milliseconds time) const
+std::vector<CallResult> GatewayFleet::sendAtRate(const std::string &target, int perSecond,
+                                                 milliseconds time) const
 {
     const TimePoint begin = monotonicNow();
     const auto count = perSecond * time.count() / 1000;
@@ -97,58 +97,58 @@
     return std::stoul(request.header("Wisteriawind-Attempt-Id").substr(1));
 }
 
-void ArrivalLog::note(const SeenRequest &request, bool told, TimePoint now)
+void ArrivalLog::note(const SeenRequest &request, bool signalled, TimePoint now)
 {
     const std::lock_guard<std::mutex> lock(mutex_);
     const std::size_t gateway = gatewayOf(request);
     arrivals_.push_back({gateway, now});
-    toldAt_.resize(std::max(toldAt_.size(), gateway + 1));
-    if (told && toldAt_[gateway] == TimePoint())
-        toldAt_[gateway] = now;
+    signalledAt_.resize(std::max(signalledAt_.size(), gateway + 1));
+    if (signalled && signalledAt_[gateway] == TimePoint())
+        signalledAt_[gateway] = now;
 }
 
-std::size_t ArrivalLog::mostAfterAnswer(milliseconds time) const
+std::size_t ArrivalLog::maxAfterAnswer(milliseconds time) const
 {
     const std::lock_guard<std::mutex> lock(mutex_);
-    std::size_t most = 0;
+    std::size_t maxCount = 0;
     for (const Arrival &answered : arrivals_) {
         const auto within = [&answered, time](const Arrival &arrival) {
-            return arrival.gateway == answered.gateway && arrival.at >= answered.at + timeToTakeIn
+            return arrival.gateway == answered.gateway && arrival.at >= answered.at + reactionTime
                 && arrival.at < answered.at + time;
         };
         const auto count = std::count_if(arrivals_.begin(), arrivals_.end(), within);
-        most = std::max(most, static_cast<std::size_t>(count));
+        maxCount = std::max(maxCount, static_cast<std::size_t>(count));
     }
-    return most;
+    return maxCount;
 }
 
-std::size_t ArrivalLog::laterThan(milliseconds time) const
+std::size_t ArrivalLog::countLaterThan(milliseconds time) const
 {
     const std::lock_guard<std::mutex> lock(mutex_);
     const auto late = [this, time](const Arrival &arrival) {
-        const TimePoint toldAt = toldAt_[arrival.gateway];
-        return toldAt != TimePoint() && arrival.at > toldAt + time;
+        const TimePoint signalledAt = signalledAt_[arrival.gateway];
+        return signalledAt != TimePoint() && arrival.at > signalledAt + time;
     };
     return static_cast<std::size_t>(std::count_if(arrivals_.begin(), arrivals_.end(), late));
 }
 
-std::vector<Arrival> ArrivalLog::fromTold() const
+std::vector<Arrival> ArrivalLog::fromSignalled() const
 {
     const std::lock_guard<std::mutex> lock(mutex_);
-    std::vector<Arrival> told;
+    std::vector<Arrival> signalled;
     for (const Arrival &arrival : arrivals_) {
-        const TimePoint toldAt = toldAt_[arrival.gateway];
-        if (toldAt != TimePoint() && arrival.at >= toldAt + timeToTakeIn)
-            told.push_back(arrival);
+        const TimePoint signalledAt = signalledAt_[arrival.gateway];
+        if (signalledAt != TimePoint() && arrival.at >= signalledAt + reactionTime)
+            signalled.push_back(arrival);
     }
-    return told;
+    return signalled;
 }
 
-TimePoint ArrivalLog::firstTold() const
+TimePoint ArrivalLog::firstSignalAt() const
 {
     const std::lock_guard<std::mutex> lock(mutex_);
     TimePoint first;
-    for (const TimePoint at : toldAt_) {
+    for (const TimePoint at : signalledAt_) {
         if (at != TimePoint() && (first == TimePoint() || at < first))
             first = at;
     }
@@ -161,9 +161,9 @@
     return arrivals_.size();
 }
 
-std::size_t mostWithin(const std::vector<Arrival> &arrivals, TimePoint after, milliseconds span)
+std::size_t maxWithin(const std::vector<Arrival> &arrivals, TimePoint after, milliseconds span)
 {
-    std::size_t most = 0;
+    std::size_t maxCount = 0;
     for (const Arrival &first : arrivals) {
         if (first.at < after)
             continue;
@@ -171,9 +171,9 @@
             return arrival.at >= first.at && arrival.at < first.at + span;
         };
         const auto count = std::count_if(arrivals.begin(), arrivals.end(), within);
-        most = std::max(most, static_cast<std::size_t>(count));
+        maxCount = std::max(maxCount, static_cast<std::size_t>(count));
     }
-    return most;
+    return maxCount;
 }
 
 } // namespace wisteria::gateway_tests
--- a/Tests/Gateway/GatewayFleet.h
+++ b/Tests/Gateway/GatewayFleet.h
@@ -12,7 +12,7 @@
 
 namespace wisteria::gateway_tests {
 
-/// Some gateways, each a process of its own, before one stand-in of the store.
+/// Several gateway processes with one stand-in of the store.
 class GatewayFleet
 {
 public:
@@ -21,16 +21,17 @@
     GatewayFleet(const GatewayFleet &) = delete;
     GatewayFleet &operator=(const GatewayFleet &) = delete;
 
-    /// Adds a plain backend server to the list of the store.
+    /// Adds a backend server of the service "plain" to the store's list.
     void addServer(const std::string &id, const ScriptedServer &server);
     /// Starts the gateways and waits until all know the configuration.
     void start();
 
     std::size_t size() const { return callers_.size(); }
 
-    /// Sends requests at a rate, to one gateway after the other, and waits for all answers. The id
-    /// of each names its gateway; see `gatewayOf`.
-    std::vector<CallResult> load(const std::string &target, int perSecond, milliseconds time) const;
+    /// Sends requests at a rate, to the gateways in turn, and waits for all answers. The attempt id
+    /// of each request contains its gateway; see `gatewayOf`.
+    std::vector<CallResult> sendAtRate(const std::string &target, int perSecond,
+                                       milliseconds time) const;
 
     StoreStandIn store;
 
@@ -39,40 +40,42 @@
     std::vector<pid_t> children_;
 };
 
-/// The gateway of a fleet that a request came through.
+/// Index of the gateway that sent a request.
 std::size_t gatewayOf(const SeenRequest &request);
 
-/// One request as it reached a backend server.
+/// One request that reached a backend server.
 struct Arrival
 {
     std::size_t gateway = 0;
     TimePoint at;
 };
 
-/// What reached one backend server, and since when each gateway knows what the server says.
+/// Requests that reached one backend server, and when each gateway first got the server's signal
+/// (a limit, a backoff or draining).
 class ArrivalLog
 {
 public:
-    /// Notes a request that arrives, and the answer that goes back at once.
-    void note(const SeenRequest &request, bool told, TimePoint now);
-    /// Arrivals from gateways that were told half a second before or earlier.
-    std::vector<Arrival> fromTold() const;
-    /// Most arrivals from one gateway between half a second after an answer to it and the end of a
-    /// time.
-    std::size_t mostAfterAnswer(milliseconds time) const;
-    /// Arrivals from gateways that were told longer ago.
-    std::size_t laterThan(milliseconds time) const;
-    /// When the first answer told anything.
-    TimePoint firstTold() const;
+    /// Records a request that arrives.
+    /// @param signalled Whether its answer, which is sent at once, has the signal.
+    void note(const SeenRequest &request, bool signalled, TimePoint now);
+    /// Arrivals from gateways that got the signal at least half a second before.
+    std::vector<Arrival> fromSignalled() const;
+    /// Maximum number of arrivals from one gateway between half a second and `time` after an answer
+    /// to it.
+    std::size_t maxAfterAnswer(milliseconds time) const;
+    /// Number of arrivals later than `time` after their gateway got the signal.
+    std::size_t countLaterThan(milliseconds time) const;
+    /// When the first answer with the signal was sent.
+    TimePoint firstSignalAt() const;
     std::size_t count() const;
 
 private:
     mutable std::mutex mutex_;
     std::vector<Arrival> arrivals_;
-    std::vector<TimePoint> toldAt_;
+    std::vector<TimePoint> signalledAt_;
 };
 
-/// Most arrivals in any span of a length that lies after a moment.
-std::size_t mostWithin(const std::vector<Arrival> &arrivals, TimePoint after, milliseconds span);
+/// Maximum number of arrivals in any window of length `span` that begins at `after` or later.
+std::size_t maxWithin(const std::vector<Arrival> &arrivals, TimePoint after, milliseconds span);
 
 } // namespace wisteria::gateway_tests
--- a/Tests/Gateway/GatewayTest.cpp
+++ b/Tests/Gateway/GatewayTest.cpp
@@ -16,8 +16,8 @@
     ScriptedServer backend([](const SeenRequest &request, ScriptPeer &peer) {
         peer.send(sealed(request, 200, "stock: 7"));
     });
-    Running gateway;
-    gateway.startWith("i-1", "plain", backend);
+    GatewayUnderTest gateway;
+    gateway.startWithBackend("i-1", "plain", backend);
     const CallResult answer = gateway.callUntil(requestFor("/once/x", "a1"), 200);
     REQUIRE(answer.status == 200);
     REQUIRE(answer.body == "stock: 7");
@@ -29,9 +29,9 @@
     REQUIRE(std::stol(seen.header("Wisteriawind-Deadline-Ms")) <= 3000);
 }
 
-TEST_CASE("Unknown routes and keys are told, but not before a configuration is known")
+TEST_CASE("Unknown routes get 404 and unknown keys 401, but 503 before a configuration is known")
 {
-    Running gateway;
+    GatewayUnderTest gateway;
     gateway.start();
     REQUIRE_FALSE(gateway.ready());
     REQUIRE(gateway.callUntil(requestFor("/once/x", "a0"), 503).status == 503);
@@ -43,31 +43,32 @@
     REQUIRE(gateway.call(wrongKey).status == 401);
 }
 
-// Guards against refusals of all that comes in the second after a restart of all gateways, before
-// the store has been read.
-TEST_CASE("A request that comes before a configuration is known waits for it")
+// Guards against refusing all requests that arrive in the second after a restart of all gateways,
+// before the store has been read.
+TEST_CASE("A request that arrives before a configuration is known waits for it")
 {
     ScriptedServer backend([](const SeenRequest &request, ScriptPeer &peer) {
         peer.send(sealed(request, 200, "here"));
     });
-    Running gateway;
-    gateway.store.away(true);
+    GatewayUnderTest gateway;
+    gateway.store.setUnavailable(true);
     gateway.configure();
     gateway.addBackend("i-1", "plain", backend);
     gateway.start();
     REQUIRE(eventually([&] { return gateway.store.readsOf("keyed.op") == 0; }));
     auto early = std::async(std::launch::async,
                             [&] { return gateway.callUntil(requestFor("/once/x", "a1"), 200); });
-    // What is refused with a time to come back is refused later than a read of the store takes.
+    // A refusal with Retry-After is sent only after a time in which the store could be read.
     REQUIRE(early.wait_for(milliseconds(300)) == std::future_status::timeout);
-    gateway.store.away(false);
+    gateway.store.setUnavailable(false);
     REQUIRE(early.get().status == 200);
     REQUIRE(backend.seen().size() == 1);
 }
 
-// A courier's notice breaks off in the middle of a word. The backend server crashes within an
-// event; the gateway goes on at another one after the last whole event, in the same answer.
-TEST_CASE("A stream that breaks within an event goes on at another backend server")
+// Guards against a stream that is cut in the middle of a word because its backend server crashes
+// within an event. The gateway resumes it at another server after the last complete event, in the
+// same answer.
+TEST_CASE("A stream that is cut within an event is resumed at another backend server")
 {
     std::atomic<int> runs = 0;
     const auto script = [&runs](const SeenRequest &request, ScriptPeer &peer) {
@@ -84,7 +85,7 @@
     };
     ScriptedServer first(script);
     ScriptedServer second(script);
-    Running gateway;
+    GatewayUnderTest gateway;
     gateway.configure();
     gateway.addBackend("i-1", "model", first);
     gateway.addBackend("i-2", "model", second);
@@ -95,12 +96,13 @@
     REQUIRE(runs == 2);
 }
 
-// Somebody's order line ships twice. The backend server ran the request and its answer was lost;
-// a repeat by the gateway, or a status that lets the caller repeat, would run it again.
-TEST_CASE("A request that may not repeat and got no answer is told as unknown")
+// Guards against running a non-idempotent request twice. If the backend server ran it and its
+// answer was lost, a retry by the gateway, or a status that lets the caller retry, would run it
+// again.
+TEST_CASE("A non-idempotent request whose answer was lost gets 502 and is not retried")
 {
     ScriptedServer backend([](const SeenRequest &, ScriptPeer &peer) { peer.reset(); });
-    Running gateway;
+    GatewayUnderTest gateway;
     gateway.configure();
     gateway.addBackend("i-1", "plain", backend);
     gateway.addBackend("i-2", "plain", backend);
@@ -109,7 +111,7 @@
     REQUIRE(backend.count("/once/") == 1);
 }
 
-TEST_CASE("An idempotent request whose answer was lost is sent once more")
+TEST_CASE("An idempotent request whose answer was lost is retried")
 {
     std::atomic<int> runs = 0;
     ScriptedServer backend([&runs](const SeenRequest &request, ScriptPeer &peer) {
@@ -118,7 +120,7 @@
         else
             peer.send(sealed(request, 200, "price: 3"));
     });
-    Running gateway;
+    GatewayUnderTest gateway;
     gateway.configure();
     gateway.addBackend("i-1", "plain", backend);
     gateway.addBackend("i-2", "plain", backend);
@@ -127,10 +129,8 @@
     REQUIRE(runs == 2);
 }
 
-// A clerk reads another clerk's quotation. A backend server sends an answer late, on a connection
-// that serves the next request by then; only the attempt's id tells whose it is.
-// Guards against a server that fails each request at once, and so always has the least load,
-// drawing most of a service's requests.
+// Guards against a server that fails each request at once, and therefore always has the least load,
+// attracting most of a service's requests.
 TEST_CASE("A backend server that answers every request with an error is avoided")
 {
     ScriptedServer failing([](const SeenRequest &request, ScriptPeer &peer) {
@@ -139,7 +139,7 @@
     ScriptedServer sound([](const SeenRequest &request, ScriptPeer &peer) {
         peer.send(sealed(request, 200, "here"));
     });
-    Running gateway;
+    GatewayUnderTest gateway;
     gateway.configure();
     gateway.addBackend("i-failing", "plain", failing);
     gateway.addBackend("i-sound", "plain", sound);
@@ -147,10 +147,13 @@
     constexpr int requests = 40;
     for (int i = 0; i < requests; ++i)
         gateway.call(requestFor("/once/x", "a" + std::to_string(i)));
-    // Three in a row, and a few tries after each time of avoidance.
+    // Three failures in a row, and a few sends after each time in which the server was avoided.
     REQUIRE(failing.seen().size() <= requests / 4);
 }
 
+// Guards against a caller reading another caller's answer. A backend server may send an answer
+// late, on a connection that already serves the next request; only the attempt id shows whose it
+// is.
 TEST_CASE("An answer to another attempt never reaches the caller")
 {
     ScriptedServer backend([](const SeenRequest &request, ScriptPeer &peer) {
@@ -158,26 +161,26 @@
             200, std::string(seal) + "Wisteriawind-Attempt-Id: someone-else\r\n", "not yours"));
         peer.send(sealed(request, 200, "yours"));
     });
-    Running gateway;
-    gateway.startWith("i-1", "plain", backend);
+    GatewayUnderTest gateway;
+    gateway.startWithBackend("i-1", "plain", backend);
     REQUIRE(gateway.callUntil(requestFor("/once/x", "a1"), 200).body == "yours");
 }
 
-TEST_CASE("A success without the backend server's seal is not passed on as one")
+TEST_CASE("A success without the backend server's seal is not forwarded as a success")
 {
     ScriptedServer backend([](const SeenRequest &request, ScriptPeer &peer) {
         peer.send(plainResponse(
             200, "Wisteriawind-Attempt-Id: " + request.header("Wisteriawind-Attempt-Id") + "\r\n",
             "spoilt"));
     });
-    Running gateway;
-    gateway.startWith("i-1", "plain", backend);
+    GatewayUnderTest gateway;
+    gateway.startWithBackend("i-1", "plain", backend);
     REQUIRE(gateway.callUntil(requestFor("/once/x", "a1"), 502).status == 502);
 }
 
-// Half of the requests after a loss of power are refused. A backend server came back under another
-// id at its old address, and the entry of the old one stands until it lapses.
-TEST_CASE("A backend server that has another one's address costs one send at most")
+// Guards against refusing half of the requests after a power failure. A backend server comes back
+// under another id at its old address, and the entry of the old id stays until it expires.
+TEST_CASE("An outdated entry for the address of another backend server costs at most one send")
 {
     ScriptedServer backend([](const SeenRequest &request, ScriptPeer &peer) {
         if (request.header("Wisteriawind-Expect-Instance") == "i-old")
@@ -185,7 +188,7 @@
         else
             peer.send(sealed(request, 200, "here"));
     });
-    Running gateway;
+    GatewayUnderTest gateway;
     gateway.configure();
     gateway.addBackend("i-old", "plain", backend);
     gateway.addBackend("i-new", "plain", backend);
@@ -199,14 +202,14 @@
     REQUIRE(toOld <= 1);
 }
 
-// Guards against every gateway finding out by sends of its own, until the next read of the list,
-// which engines are gone after a restart.
-TEST_CASE("A refusal by another server at the address has the list read at once")
+// Guards against every gateway learning only from its own failed sends, until the next read of the
+// list, which engines are gone after a restart.
+TEST_CASE("A refusal by another server at the address causes a read of the list at once")
 {
     ScriptedServer backend(
         [](const SeenRequest &request, ScriptPeer &peer) { peer.send(sealed(request, 421, "")); });
-    Running gateway;
-    gateway.startWith("i-old", "plain", backend);
+    GatewayUnderTest gateway;
+    gateway.startWithBackend("i-old", "plain", backend);
     const std::size_t before = gateway.store.readsOf("keyed.servers");
     REQUIRE(eventually([&] { return gateway.store.readsOf("keyed.servers") > before; }));
     const std::size_t regular = gateway.store.readsOf("keyed.servers");
@@ -215,7 +218,7 @@
                        milliseconds(400)));
 }
 
-TEST_CASE("What a backend server surely did not run is told so, with a time to come back")
+TEST_CASE("A request that the backend server did not execute gets 503 with Retry-After")
 {
     ScriptedServer backend([](const SeenRequest &request, ScriptPeer &peer) {
         peer.send(plainResponse(503,
@@ -223,18 +226,17 @@
                                     + request.header("Wisteriawind-Attempt-Id") + "\r\n",
                                 ""));
     });
-    Running gateway;
-    gateway.startWith("i-1", "plain", backend);
+    GatewayUnderTest gateway;
+    gateway.startWithBackend("i-1", "plain", backend);
     const CallResult answer = gateway.callUntil(requestFor("/once/x", "a1"), 503);
     REQUIRE(answer.status == 503);
     REQUIRE_FALSE(answer.header("Retry-After").empty());
 }
 
-// Someone has left the shop, and a model still writes the answer. The caller closes its connection
-// in the middle of a stream; the gateway closes the one to the backend server at once.
-// A clerk gives up on a quotation while the VM of its model engine stands still. The VM goes on a
-// second later, finds the request with an orderly close behind it, and runs it for nobody.
-TEST_CASE("A request whose caller left is made void by a reset")
+// Guards against running an abandoned request. The VM of a model engine stalls, and its caller
+// disconnects. When the VM resumes, an orderly close behind the request does not stop the engine
+// from running it; a reset discards the request.
+TEST_CASE("The connection to the backend server is reset when the caller disconnects")
 {
     std::atomic<bool> wasReset = false;
     std::atomic<bool> over = false;
@@ -243,8 +245,8 @@
         over = true;
         peer.close();
     });
-    Running gateway;
-    gateway.startWith("i-1", "model", backend);
+    GatewayUnderTest gateway;
+    gateway.startWithBackend("i-1", "model", backend);
     REQUIRE(eventually([&] {
         const OpenCall caller(gateway.callers(), requestFor("/stream/x", "a1"));
         return eventually([&] { return backend.count("/stream/") > 0; });
@@ -253,7 +255,9 @@
     REQUIRE(wasReset);
 }
 
-TEST_CASE("A caller that leaves ends the work at the backend server")
+// Guards against a model that generates an answer after its caller has disconnected in the middle
+// of the stream. The gateway must close the connection to the backend server at once.
+TEST_CASE("A caller that disconnects during a stream ends the work at the backend server")
 {
     std::atomic<bool> ended = false;
     ScriptedServer backend([&ended](const SeenRequest &request, ScriptPeer &peer) {
@@ -261,8 +265,8 @@
         ended = peer.waitForEnd();
         peer.close();
     });
-    Running gateway;
-    gateway.startWith("i-1", "model", backend);
+    GatewayUnderTest gateway;
+    gateway.startWithBackend("i-1", "model", backend);
     REQUIRE(eventually([&] {
         OpenCall caller(gateway.callers(), requestFor("/stream/x", "a1"));
         return caller.waitForBytes() && backend.count("/stream/") > 0;
@@ -270,9 +274,9 @@
     REQUIRE(eventually([&ended] { return ended.load(); }));
 }
 
-// A notice breaks off in the middle. During a rolling restart the platform goes on sending callers
-// to a stopping gateway; it took requests until its end and cut them then.
-TEST_CASE("A stopping gateway takes no new callers in its last seconds, and ends what it has")
+// Guards against cut streams during a rolling restart. The platform may keep sending callers to a
+// stopping gateway, and requests that it accepts until its end are cut off then.
+TEST_CASE("A stopping gateway accepts no callers in its last seconds and completes open requests")
 {
     std::atomic<bool> finish = false;
     ScriptedServer backend([&finish](const SeenRequest &request, ScriptPeer &peer) {
@@ -280,8 +284,8 @@
         eventually([&finish] { return finish.load(); });
         peer.send(chunk(eventText(2)) + "0\r\n\r\n");
     });
-    Running gateway(milliseconds(8000));
-    gateway.startWith("i-1", "model", backend);
+    GatewayUnderTest gateway(milliseconds(8000));
+    gateway.startWithBackend("i-1", "model", backend);
     auto answer = std::async(std::launch::async, [&gateway] {
         return gateway.callUntil(requestFor("/stream/x", "a1"), 200);
     });
@@ -293,15 +297,16 @@
     REQUIRE(answer.get().body == eventText(1) + eventText(2));
 }
 
-// Callers get 404 for a route that operators added seconds ago. All open connections to the store
-// fell silent without a reset; after the read's timeout the next one went out on another kept one.
+// Guards against 404 for a route that operators added seconds ago. All open connections to the
+// store fail silently, without a reset; after the timeout of a read, the next one must not use
+// another kept connection.
 TEST_CASE("A version is in force in time although kept connections to the store are silent")
 {
     ScriptedServer backend([](const SeenRequest &request, ScriptPeer &peer) {
         peer.send(sealed(request, 200, "here"));
     });
-    Running gateway;
-    gateway.startWith("i-1", "plain", backend);
+    GatewayUnderTest gateway;
+    gateway.startWithBackend("i-1", "plain", backend);
     gateway.callUntil(requestFor("/once/x", "a1"), 200);
     gateway.store.silenceKeptConnections();
     nlohmann::json next = configurationOf(2);
@@ -312,23 +317,23 @@
     REQUIRE(monotonicNow() - begin < seconds(3));
 }
 
-// All requests in flight are cut at once. Operators send SIGHUP after they changed the settings
-// file, and a process that does not handle the signal ends.
+// Guards against cutting all requests in flight. Operators send SIGHUP after they have changed the
+// settings file, and it ends a process that does not handle it.
 TEST_CASE("SIGHUP does not end a gateway")
 {
     ScriptedServer backend([](const SeenRequest &request, ScriptPeer &peer) {
         peer.send(sealed(request, 200, "here"));
     });
-    Running gateway;
-    gateway.startWith("i-1", "plain", backend);
+    GatewayUnderTest gateway;
+    gateway.startWithBackend("i-1", "plain", backend);
     ::kill(::getpid(), SIGHUP);
     REQUIRE(gateway.callUntil(requestFor("/once/x", "a1"), 200).body == "here");
 }
 
-// Every request in flight is cut at each planned stop. The thread that writes log lines started
-// before the signals were blocked, so the kernel gave SIGTERM to it, and its default ends the
-// process.
-TEST_CASE("The programs bear SIGHUP and end in order at SIGTERM")
+// Guards against cutting every request in flight at each planned stop. If the thread that writes
+// log lines starts before the signals are blocked, the kernel delivers SIGTERM to it, and the
+// default action ends the process.
+TEST_CASE("The programs survive SIGHUP and stop in order on SIGTERM")
 {
     for (const char *program : {"wisteria-gateway", "wisteria-sidecar"}) {
         const ScriptedServer engine(
--- a/Tests/Gateway/GatewayUnderTest.cpp
+++ b/Tests/Gateway/GatewayUnderTest.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// Signals that a gateway takes must be blocked in every thread before the first one starts.
+/// The signals that a gateway handles must be blocked before the first thread starts, so that every
+/// thread inherits the mask.
 const bool signalsBlocked = [] {
     sigset_t signals;
     sigemptyset(&signals);
--- a/Tests/Gateway/GatewayUnderTest.h
+++ b/Tests/Gateway/GatewayUnderTest.h
@@ -23,9 +23,9 @@
 /// A new folder under /tmp.
 std::string temporaryFolder();
 
-/// Starts a program of the build with the signals as a shell leaves them.
-/// @param settings The settings file.
-/// @param output Descriptor that becomes its standard output; the test's own when negative.
+/// Starts a program of the build with no signal blocked, as a shell does.
+/// @param settings Path of the settings file.
+/// @param output Descriptor that becomes its standard output; inherited from the test if negative.
 pid_t startProgram(const std::string &program, const std::string &settings,
                    const std::vector<std::string> &arguments = {}, int output = -1);
 
@@ -45,7 +45,7 @@
 /// @return The file's path.
 std::string writeSettings(const std::string &vmName, const ProgramAddresses &addresses);
 
-/// A response header that marks an answer as the backend server's own.
+/// A header field that marks an answer as the backend server's own.
 inline constexpr const char *seal = "Wisteriawind-Response-Seal: s\r\n";
 
 /// A route of the configuration.
@@ -55,11 +55,11 @@
 /// A configuration with routes of each kind: /once/, /again/ and /stream/.
 nlohmann::json configurationOf(int version);
 
-/// A gateway in a thread of its own before a stand-in of the store.
-class Running
+/// A gateway in a separate thread, with a stand-in of the store.
+class GatewayUnderTest
 {
 public:
-    explicit Running(milliseconds gracePeriod = milliseconds(1000))
+    explicit GatewayUnderTest(milliseconds gracePeriod = milliseconds(1000))
     {
         settings_.vmName = "front-1";
         settings_.failureDomain = "a";
@@ -73,8 +73,8 @@
         settings_.gracePeriod = gracePeriod;
     }
 
-    /// Starts the gateway. What the store holds by then it knows when it is ready; what comes later
-    /// it reads a while after.
+    /// Starts the gateway. When it is ready, it has read what the store held at the start; it reads
+    /// later records with a delay.
     void start()
     {
         if (gateway_)
@@ -83,7 +83,7 @@
         end_ = std::async(std::launch::async, [this] { return gateway_->run().has_value(); });
     }
 
-    ~Running()
+    ~GatewayUnderTest()
     {
         if (end_.valid()) {
             ::kill(::getpid(), SIGTERM);
@@ -112,7 +112,9 @@
             == 200;
     }
 
-    /// Sends until the answer has the status; the watches of the store take their time.
+    /// Repeats a request until its answer has the status, because the gateway reads changes of the
+    /// store with a delay.
+    /// @return The last answer.
     CallResult callUntil(const std::string &request, int status) const
     {
         CallResult result;
@@ -130,14 +132,15 @@
     }
 
     /// Starts the gateway with one backend server and waits until it is ready.
-    void startWith(const std::string &id, const std::string &service, const ScriptedServer &server)
+    void startWithBackend(const std::string &id, const std::string &service,
+                          const ScriptedServer &server)
     {
         configure();
         addBackend(id, service, server);
         waitUntilReady();
     }
 
-    /// The metrics as a scraper gets them.
+    /// The text of a scrape.
     std::string metrics() const
     {
         return callServer(*settings_.metricsEndpoint, "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -146,8 +149,11 @@
 
     const Endpoint &callers() const { return *settings_.callerEndpoint; }
 
-    /// Where it takes messages of other processes of the system.
-    Endpoint messages() const { return {settings_.vmAddress.ip, settings_.firstInternalPort}; }
+    /// Where the gateway receives datagrams of sidecars and other gateways.
+    Endpoint messageEndpoint() const
+    {
+        return {settings_.vmAddress.ip, settings_.firstInternalPort};
+    }
 
     CallResult call(const std::string &request) const
     {
@@ -162,20 +168,20 @@
     std::future<bool> end_;
 };
 
-/// A caller's request with the key of the configuration.
+/// A caller's request with the API key of `configurationOf`.
 std::string requestFor(const std::string &target, const std::string &id,
                        const std::string &method = "POST");
 
-/// A backend server's whole answer to a request.
+/// A backend server's complete answer to a request, with the seal.
 std::string sealed(const SeenRequest &request, int status, const std::string &body);
 
-/// One event of a stream; its data names the number.
+/// One event of a stream, with its number in id and data.
 std::string eventText(int id);
 
-/// The head of a stream in chunks that answers a request.
+/// The head of an answer that streams events in chunks.
 std::string streamHead(const SeenRequest &request);
 
-/// Bytes as one chunk of a body.
+/// Bytes as one chunk of a chunked body.
 std::string chunk(const std::string &bytes);
 
 } // namespace wisteria::gateway_tests
--- a/Tests/Gateway/GroupHelloTest.cpp
+++ b/Tests/Gateway/GroupHelloTest.cpp
@@ -28,10 +28,10 @@
 TEST_CASE("A gateway sends hellos at a short interval until a new sidecar has answered")
 {
     const ScriptedServer engine([](const SeenRequest &, ScriptPeer &) {}, sidecarIp);
-    Running gateway;
+    GatewayUnderTest gateway;
     gateway.store.put("keyed.op", "config", configurationWithGroup());
     gateway.addBackend("i-1", "model", engine);
-    const DatagramPeer sidecar(sidecarIp, gateway.messages());
+    const DatagramPeer sidecar(sidecarIp, gateway.messageEndpoint());
     gateway.waitUntilReady();
     REQUIRE(sidecar.countWithin<GatewayHello>(milliseconds(550)) >= 4);
     sidecar.send(EngineLoad{.engine = engine.endpoint(), .open = false});
@@ -45,11 +45,11 @@
 TEST_CASE("A gateway sends the digest of its engine list in each hello, and the list on request")
 {
     const ScriptedServer engine([](const SeenRequest &, ScriptPeer &) {}, sidecarIp);
-    Running gateway;
+    GatewayUnderTest gateway;
     gateway.store.put("keyed.op", "config", configurationWithGroup());
     gateway.addBackend("i-1", "model", engine);
-    const DatagramPeer sidecar(sidecarIp, gateway.messages());
-    const DatagramPeer unlisted(unlistedIp, gateway.messages());
+    const DatagramPeer sidecar(sidecarIp, gateway.messageEndpoint());
+    const DatagramPeer unlisted(unlistedIp, gateway.messageEndpoint());
     gateway.waitUntilReady();
     std::vector<GatewayHello> hellos;
     REQUIRE(eventually([&] {
--- a/Tests/Gateway/MetricsTest.cpp
+++ b/Tests/Gateway/MetricsTest.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-/// The value of a series, -1 when it is not served.
+/// The value of a series; -1 if the text does not contain it.
 double valueOf(const std::string &metrics, const std::string &series)
 {
     std::istringstream lines(metrics);
@@ -31,7 +31,7 @@
     return -1;
 }
 
-/// Names that stand after "# TYPE ".
+/// Names of the metrics in a scrape, from its "# TYPE" lines.
 std::set<std::string> servedNames(const std::string &metrics)
 {
     std::set<std::string> names;
@@ -44,7 +44,7 @@
     return names;
 }
 
-/// Names in the first column of the page's tables.
+/// Names of the metrics in the first column of the page's tables.
 std::set<std::string> documentedNames()
 {
     std::set<std::string> names;
@@ -73,7 +73,7 @@
     return found;
 }
 
-/// Names of events in the sources of both programs.
+/// Names of log events in the sources of both programs.
 std::set<std::string> eventsWritten()
 {
     const std::regex name("\"([a-z]+\\.[a-z_]+)\"");
@@ -117,7 +117,7 @@
 
 } // namespace
 
-TEST_CASE("A scrape tells what became of requests, and what the gateway knows")
+TEST_CASE("A scrape shows how requests ended and the state of the gateway")
 {
     std::atomic<int> runs = 0;
     ScriptedServer model([&runs](const SeenRequest &request, ScriptPeer &peer) {
@@ -129,7 +129,7 @@
         }
         peer.send("0\r\n\r\n");
     });
-    Running gateway;
+    GatewayUnderTest gateway;
     gateway.configure();
     gateway.addBackend("m-1", "model", model);
     gateway.addBackend("m-2", "model", model);
@@ -166,8 +166,8 @@
     REQUIRE(documentedNames() == servedNames(everyMetric()));
 }
 
-// An engineer on call looks up an event of the logs and the page does not know it, or the page
-// names one that no program writes any more.
+// Guards against a log event that an engineer on call can't find on the page, and against events on
+// the page that no program writes.
 TEST_CASE("The page on operations names each event that the programs write, and no other")
 {
     const std::regex name("[`\"]([a-z]+\\.[a-z_]+)[`\"]");
@@ -175,9 +175,9 @@
     REQUIRE(matchesOf(page, name) == eventsWritten());
 }
 
-// A configuration with thousands of services arrives. Each would get series of its own, until the
-// process is over the memory of its VM and is killed with all its requests.
-TEST_CASE("The number of series is bounded, and what is left out is counted")
+// Guards against a configuration with thousands of services. If each service added series without a
+// bound, the process would exceed the memory of its VM and be killed with all its requests.
+TEST_CASE("The number of series is bounded, and dropped updates are counted")
 {
     Metrics metrics;
     constexpr int services = 5000;
@@ -188,10 +188,10 @@
     REQUIRE(dropped < services);
 }
 
-// The collector of the logs hangs while callers keep asking. The pipe fills, and the gateway must
-// go on answering, say how many lines it dropped, and end when it is told to: its writer stood in
-// a write that never returned, and SIGTERM was followed by nothing until the kill.
-TEST_CASE("A reader of the log that does not read holds up neither requests nor the end")
+// Guards against a log collector that stops reading. When the pipe is full, a blocking write of the
+// log's writer thread never returns, and SIGTERM has no effect until the kill. The gateway must
+// keep answering, count the dropped lines and stop on SIGTERM.
+TEST_CASE("A log reader that stops reading blocks neither requests nor the shutdown")
 {
     const Endpoint callers{INADDR_LOOPBACK, freePort()};
     const Endpoint metrics{INADDR_LOOPBACK, freePort()};
@@ -203,7 +203,7 @@
         "wisteria-gateway", settings,
         {"--metrics-port", std::to_string(metrics.port), "--log-queue", "256"}, pipe[1]);
     ::close(pipe[1]);
-    // Refused at once: a caller that says how long it waits is kept until the store is back.
+    // Without a deadline a request is refused at once; with one it would wait for the store.
     const auto statusOf = [&callers](const std::string &id) {
         std::string request = requestFor("/x", id);
         constexpr std::string_view timeLeft = "Wisteriawind-Deadline-Ms: 3000\r\n";
--- a/Tests/Gateway/ScriptedServer.cpp
+++ b/Tests/Gateway/ScriptedServer.cpp
@@ -42,7 +42,8 @@
     return address;
 }
 
-/// Reads one request; false when the connection ended before it was whole.
+/// Reads one request.
+/// @return False if the connection ended before the request was complete.
 bool readRequest(int descriptor, std::string &buffer, SeenRequest &request)
 {
     while (true) {
@@ -161,9 +162,9 @@
 {
     std::string buffer;
     ScriptPeer peer(descriptor);
-    for (int before = 0; !peer.closed(); ++before) {
+    for (int requestsBefore = 0; !peer.closed(); ++requestsBefore) {
         SeenRequest request;
-        request.before = before;
+        request.requestsBefore = requestsBefore;
         if (!readRequest(descriptor, buffer, request))
             break;
         {
@@ -241,7 +242,7 @@
 
 OpenCall::~OpenCall()
 {
-    leave();
+    disconnect();
 }
 
 bool OpenCall::waitForBytes() const
@@ -250,7 +251,7 @@
     return ::poll(&wanted, 1, waitMilliseconds) > 0;
 }
 
-void OpenCall::leave()
+void OpenCall::disconnect()
 {
     if (descriptor_ >= 0)
         ::close(descriptor_);
--- a/Tests/Gateway/ScriptedServer.h
+++ b/Tests/Gateway/ScriptedServer.h
@@ -15,34 +15,36 @@
 
 namespace wisteria::gateway_tests {
 
-/// One request as a scripted server read it.
+/// One request that a scripted server has read.
 struct SeenRequest
 {
     std::string head;
     std::string body;
-    /// Requests on the same connection before it.
-    int before = 0;
+    /// Number of earlier requests on the same connection.
+    int requestsBefore = 0;
 
-    /// The first word after the method.
+    /// The target in the request line.
     std::string target() const;
-    /// Value of a header, empty when absent.
+    /// Value of a header field; empty if it is absent.
     std::string header(const std::string &name) const;
 };
 
-/// The connection that a script answers on.
+/// The connection on which a script answers.
 class ScriptPeer
 {
 public:
     explicit ScriptPeer(int descriptor) : descriptor_(descriptor) { }
 
     void send(const std::string &bytes) const;
-    /// Makes the connection end with a reset instead of an orderly close.
+    /// Closes the connection with a reset instead of an orderly close, after the script returns.
     void reset();
     void close() { closed_ = true; }
     bool closed() const { return closed_; }
-    /// Whether the other side has closed or reset the connection, waiting up to two seconds.
+    /// Waits up to two seconds for the other side to close or reset the connection.
+    /// @return Whether it did.
     bool waitForEnd() const;
-    /// Whether it has reset it, which makes void what has not been read yet.
+    /// Waits up to two seconds for a reset, which discards data that has not been read yet.
+    /// @return Whether it came.
     bool waitForReset() const;
 
 private:
@@ -50,7 +52,7 @@
     bool closed_ = false;
 };
 
-/// Answers HTTP requests on a loopback address as a script says; a thread a connection.
+/// Answers HTTP requests on a loopback address by a script, with one thread for each connection.
 class ScriptedServer
 {
 public:
@@ -65,7 +67,7 @@
     Endpoint endpoint() const { return endpoint_; }
     /// Requests read so far.
     std::vector<SeenRequest> seen() const;
-    /// Those whose target begins so.
+    /// Number of requests read so far whose target begins with `target`.
     std::size_t count(const std::string &target) const;
 
 private:
@@ -83,24 +85,25 @@
     std::thread acceptor_;
 };
 
-/// A response with a length.
+/// A complete response with a Content-Length.
 std::string plainResponse(int status, const std::string &fields, const std::string &body);
 
-/// Sends a request on a connection of its own and reads until the answer's end, the close or the
-/// time limit.
+/// Answer to a request, as far as it was received.
 struct CallResult
 {
     int status = 0;
     std::string head;
     std::string body;
-    /// The body ended as its head announced.
+    /// Whether the body is complete according to its head.
     bool whole = false;
 
     std::string header(const std::string &name) const;
 };
+/// Sends a request on a new connection and reads until the end of the answer, the end of the
+/// connection or a time limit.
 CallResult callServer(const Endpoint &to, const std::string &request);
 
-/// A request whose caller can leave before the answer's end.
+/// A request whose caller can disconnect before the end of the answer.
 class OpenCall
 {
 public:
@@ -109,15 +112,17 @@
     OpenCall(const OpenCall &) = delete;
     OpenCall &operator=(const OpenCall &) = delete;
 
-    /// Waits for the first bytes of the answer.
+    /// Waits up to two seconds for the first bytes of the answer.
+    /// @return Whether they came.
     bool waitForBytes() const;
-    void leave();
+    void disconnect();
 
 private:
     int descriptor_ = -1;
 };
 
-/// Asks for a condition again and again until it holds or the time is over.
+/// Checks a condition repeatedly until it holds or the time is over.
+/// @return Whether it held.
 bool eventually(const std::function<bool()> &condition, milliseconds within = seconds(10));
 
 } // namespace wisteria::gateway_tests
--- a/Tests/Gateway/ServerBackoffTest.cpp
+++ b/Tests/Gateway/ServerBackoffTest.cpp
@@ -42,7 +42,7 @@
     { }
 
     const ScriptedServer &server() const { return server_; }
-    std::size_t mostWithinBackoff() const { return arrivals_.mostAfterAnswer(backoff); }
+    std::size_t mostWithinBackoff() const { return arrivals_.maxAfterAnswer(backoff); }
 
 private:
     ArrivalLog arrivals_;
@@ -85,7 +85,7 @@
     fleet.addServer("i-1", backingOff.server());
     fleet.addServer("i-2", sound);
     fleet.start();
-    const auto results = fleet.load("/again/x", 24, backoff);
+    const auto results = fleet.sendAtRate("/again/x", 24, backoff);
     REQUIRE(backingOff.mostWithinBackoff() <= allowedWithinBackoff);
     // The request by which a gateway learns of the rest may find no retry left in its share.
     REQUIRE(countOf(results, 200) >= results.size() - fleet.size());
@@ -101,9 +101,9 @@
     fleet.addServer("i-1", first.server());
     fleet.addServer("i-2", second.server());
     fleet.start();
-    fleet.load("/again/x", 24, milliseconds(500));
+    fleet.sendAtRate("/again/x", 24, milliseconds(500));
     const TimePoint allTold = monotonicNow();
-    const auto results = fleet.load("/again/x", 24, milliseconds(1500));
+    const auto results = fleet.sendAtRate("/again/x", 24, milliseconds(1500));
     REQUIRE(first.mostWithinBackoff() <= allowedWithinBackoff);
     REQUIRE(second.mostWithinBackoff() <= allowedWithinBackoff);
     REQUIRE(countOf(results, 503) == results.size());
--- a/Tests/Gateway/ServerLimitTest.cpp
+++ b/Tests/Gateway/ServerLimitTest.cpp
@@ -78,10 +78,10 @@
     fleet.addServer("i-1", inNeed);
     fleet.addServer("i-2", sound);
     fleet.start();
-    const auto results = fleet.load("/again/x", 24, settled + span + seconds(2));
+    const auto results = fleet.sendAtRate("/again/x", 24, settled + span + seconds(2));
     REQUIRE(served(results) == results.size());
     CAPTURE(gateways);
-    REQUIRE(mostWithin(arrivals.fromTold(), arrivals.firstTold() + settled, span)
+    REQUIRE(maxWithin(arrivals.fromSignalled(), arrivals.firstSignalAt() + settled, span)
             <= allowedWithin(1));
 }
 
@@ -99,9 +99,9 @@
     fleet.addServer("i-1", inNeed);
     fleet.start();
     constexpr milliseconds time = settled + span + seconds(1);
-    const auto results = fleet.load("/again/x", asked, time);
+    const auto results = fleet.sendAtRate("/again/x", asked, time);
     CAPTURE(gateways, served(results));
-    REQUIRE(mostWithin(arrivals.fromTold(), arrivals.firstTold() + settled, span)
+    REQUIRE(maxWithin(arrivals.fromSignalled(), arrivals.firstSignalAt() + settled, span)
             <= allowedWithin(4));
     constexpr double usedAtLeast = 0.8;
     REQUIRE(static_cast<double>(served(results)) >= 4 * secondsOf(time) * usedAtLeast);
@@ -125,10 +125,11 @@
     fleet.addServer("i-1", inNeed);
     fleet.addServer("i-2", sound);
     fleet.start();
-    const auto results = fleet.load("/again/x", 48, settled + span);
+    const auto results = fleet.sendAtRate("/again/x", 48, settled + span);
     REQUIRE(served(results) == results.size());
-    REQUIRE(mostWithin(arrivals.fromTold(), arrivals.firstTold() + settled - seconds(1), span)
-            <= allowedWithin(1));
+    REQUIRE(
+        maxWithin(arrivals.fromSignalled(), arrivals.firstSignalAt() + settled - seconds(1), span)
+        <= allowedWithin(1));
 }
 
 // Guards against limits that hold only while the store answers.
@@ -142,10 +143,10 @@
     GatewayFleet fleet(4);
     fleet.addServer("i-1", inNeed);
     fleet.start();
-    fleet.load("/again/x", 12, seconds(1));
-    fleet.store.mute(true);
-    const auto results = fleet.load("/again/x", 12, settled + span);
-    REQUIRE(mostWithin(arrivals.fromTold(), arrivals.firstTold() + settled, span)
+    fleet.sendAtRate("/again/x", 12, seconds(1));
+    fleet.store.setMuted(true);
+    const auto results = fleet.sendAtRate("/again/x", 12, settled + span);
+    REQUIRE(maxWithin(arrivals.fromSignalled(), arrivals.firstSignalAt() + settled, span)
             <= allowedWithin(2));
     constexpr double secondsOfLoad = 7;
     REQUIRE(static_cast<double>(served(results)) >= 2 * secondsOfLoad * 0.6);
@@ -161,8 +162,8 @@
                                     + request.header("Wisteriawind-Attempt-Id") + "\r\n",
                                 ""));
     });
-    Running gateway;
-    gateway.startWith("i-1", "plain", other);
+    GatewayUnderTest gateway;
+    gateway.startWithBackend("i-1", "plain", other);
     REQUIRE(gateway.call(requestFor("/again/x", "a1", "GET")).status == 503);
     REQUIRE(other.seen().size() == 1);
     REQUIRE(gateway.metrics().find("wisteria_server_limits 0") != std::string::npos);
--- a/Tests/Gateway/StoreOutageTest.cpp
+++ b/Tests/Gateway/StoreOutageTest.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A gateway as a process of its own, whose lines go to a file.
+/// A gateway process that writes its log to a file.
 class LoggedGateway
 {
 public:
@@ -40,7 +40,7 @@
 
     const Endpoint &callers() const { return callers_; }
 
-    /// The first line of an event that names this; null while there is none.
+    /// The first line of an event whose field has this value; null if there is none yet.
     nlohmann::json line(const std::string &event, const std::string &field,
                         const std::string &value) const
     {
@@ -54,7 +54,8 @@
         return nullptr;
     }
 
-    /// The same, waited for.
+    /// Waits for such a line.
+    /// @return The line; null if none came in time.
     nlohmann::json waitForLine(const std::string &event, const std::string &field,
                                const std::string &value) const
     {
@@ -74,19 +75,19 @@
 
 } // namespace
 
-// An engineer on call asks why a gateway decided by an old version. Only the first failed call of
-// an outage left a line, so nobody could tell calls that took long from calls on dead connections,
-// and the refusal did not say how old the version was that decided it.
-TEST_CASE("Lines tell each failed call of the store, and how old what decided a refusal is")
+// Guards against logs that don't show why a gateway used an old version. With a line for the first
+// failed call of an outage only, slow calls look like calls on dead connections, and a refusal must
+// state the age of the version that decided it.
+TEST_CASE("Each failed store call is logged, and a refusal states the age of its configuration")
 {
     StoreStandIn store;
     store.put("keyed.op", "config", configurationOf(1));
     const LoggedGateway gateway(store.endpoint());
     REQUIRE_FALSE(gateway.waitForLine("config.in_force", "process", "front-1").is_null());
-    // Until the list of servers has been read as well, requests wait for it.
+    // Requests also wait until the list of backend servers has been read.
     REQUIRE(eventually(
         [&] { return callServer(gateway.callers(), requestFor("/none/x", "a0")).status == 404; }));
-    store.mute(true);
+    store.setMuted(true);
     const nlohmann::json lost = gateway.waitForLine("store.lost", "what", "backends");
     REQUIRE(lost.value("after_s", 0.0) >= 0.7);
     const nlohmann::json failed = gateway.waitForLine("store.call_failed", "what", "backends");
@@ -100,26 +101,24 @@
     REQUIRE(end.value("config_age_s", 0.0) > 0.7);
 }
 
-// Callers with a key that an operator had added almost three seconds before got 401. The store had
-// been silent for nine seconds, took the version as it came back, and answered other reads within
-// half a second; yet no gateway read the version until 2.8 s after its acknowledgement. A read that
-// waits for changes had begun during the outage: it was given up after its whole wait, and then
-// came the longest pause. The line of that read, with version 1 in force all the while:
-// "reason":"no answer in time","after_s":2.717,"connection":"new","failures":4,"next_in_s":0.8
-TEST_CASE("A version is in force in time once a store that was silent answers again")
+// Guards against a version that comes into force late after an outage of the store, so that callers
+// with a new key get 401. A read that waits for changes and begins in the outage would time out
+// only after its whole wait of 2.7 s. With a maximum backoff of 0.8 s after it, the version would
+// be read 2.8 s after its acknowledgement.
+TEST_CASE("A version is in force in time once a silent store answers again")
 {
-    // A version is to be in force this long after its acknowledgement.
+    // A version must be in force this long after its acknowledgement.
     constexpr seconds inForceWithin{2};
     ScriptedServer backend([](const SeenRequest &request, ScriptPeer &peer) {
         peer.send(sealed(request, 200, "here"));
     });
-    Running gateway;
-    gateway.startWith("i-1", "plain", backend);
+    GatewayUnderTest gateway;
+    gateway.startWithBackend("i-1", "plain", backend);
     gateway.callUntil(requestFor("/once/x", "a1"), 200);
     const std::size_t readsBefore = gateway.store.readsOf("keyed.op");
-    gateway.store.mute(true);
+    gateway.store.setMuted(true);
     REQUIRE(eventually([&] { return gateway.store.readsOf("keyed.op") >= readsBefore + 3; }));
-    gateway.store.mute(false);
+    gateway.store.setMuted(false);
     nlohmann::json next = configurationOf(2);
     next["tenants"][0]["api_keys"] = {"key1", "key2"};
     gateway.store.put("keyed.op", "config", next);
--- a/Tests/Gateway/StoreStandIn.cpp
+++ b/Tests/Gateway/StoreStandIn.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-std::string number(const std::string &target, const std::string &name)
+std::string queryValue(const std::string &target, const std::string &name)
 {
     const std::size_t at = target.find(name + "=");
     const std::size_t begin = at + name.size() + 1;
     return at == std::string::npos ? "0" : target.substr(begin, target.find('&', begin) - begin);
 }
 
-std::string big(std::uint64_t value, int size)
+std::string bigEndian(std::uint64_t value, int size)
 {
     std::string bytes;
     for (int i = size - 1; i >= 0; --i)
@@ -59,14 +59,14 @@
 void StoreStandIn::answer(const SeenRequest &request, ScriptPeer &peer)
 {
     const std::string target = request.target();
-    const bool silentAtArrival = silent_;
-    if (mute_ || (silentAtArrival && request.before > 0))
+    const bool silentAtArrival = keptConnectionsSilent_;
+    if (muted_ || (silentAtArrival && request.requestsBefore > 0))
         return;
-    if (away_ || (refusesAppends_ && target.starts_with("/log-append"))) {
+    if (unavailable_ || (refusesAppends_ && target.starts_with("/log-append"))) {
         peer.send(plainResponse(503, "", ""));
         return;
     }
-    const std::string topic = number(target, "topic");
+    const std::string topic = queryValue(target, "topic");
     if (target.starts_with("/log-newest")) {
         peer.send(plainResponse(200, "", newest(topic)));
         return;
@@ -76,9 +76,9 @@
         peer.send(plainResponse(200, "", "{}"));
         return;
     }
-    const std::size_t from = std::stoul(number(target, "from"));
-    waitForRecord(topic, from, milliseconds(std::stol(number(target, "wait_ms"))));
-    if (!dropped(request, silentAtArrival))
+    const std::size_t from = std::stoul(queryValue(target, "from"));
+    waitForRecord(topic, from, milliseconds(std::stol(queryValue(target, "wait_ms"))));
+    if (!isDropped(request, silentAtArrival))
         peer.send(plainResponse(200, "", read(topic, from)));
 }
 
@@ -90,10 +90,11 @@
     append(topic, content.substr(1, keyBytes), content.substr(1 + keyBytes));
 }
 
-bool StoreStandIn::dropped(const SeenRequest &request, bool silentAtArrival) const
+bool StoreStandIn::isDropped(const SeenRequest &request, bool silentAtArrival) const
 {
-    const bool connectionFellSilent = silent_ && (!silentAtArrival || request.before > 0);
-    return mute_ || connectionFellSilent;
+    const bool connectionFellSilent =
+        keptConnectionsSilent_ && (!silentAtArrival || request.requestsBefore > 0);
+    return muted_ || connectionFellSilent;
 }
 
 void StoreStandIn::waitForRecord(const std::string &topic, std::size_t from, milliseconds wait)
@@ -121,10 +122,10 @@
 {
     const std::lock_guard<std::mutex> lock(mutex_);
     const std::vector<Record> &log = logs_[topic];
-    std::string bytes = big(log.size(), 8) + big(0, 8);
+    std::string bytes = bigEndian(log.size(), 8) + bigEndian(0, 8);
     for (std::size_t i = from; i < log.size(); ++i) {
-        const std::string content = big(log[i].key.size(), 1) + log[i].key + log[i].value;
-        bytes += big(content.size(), 4) + content;
+        const std::string content = bigEndian(log[i].key.size(), 1) + log[i].key + log[i].value;
+        bytes += bigEndian(content.size(), 4) + content;
     }
     return bytes;
 }
--- a/Tests/Gateway/StoreStandIn.h
+++ b/Tests/Gateway/StoreStandIn.h
@@ -14,8 +14,8 @@
 
 namespace wisteria::gateway_tests {
 
-/// A stand-in of the platform's store: keyed topics that answer log-newest, log-read and
-/// log-append. It holds a read that waits until there is a record.
+/// A stand-in of the platform's store: keyed topics with the calls log-newest, log-read and
+/// log-append. A read that waits is held until there is a record or its wait ends.
 class StoreStandIn
 {
 public:
@@ -29,24 +29,25 @@
         append(topic, key, value.dump());
     }
 
-    /// An empty value removes the key.
+    /// Appends a record. An empty value removes the key.
     void append(const std::string &topic, const std::string &key, const std::string &value);
 
-    /// Answers 503 to everything from now on, or no longer.
-    void away(bool away) { away_ = away; }
+    /// Sets whether every request from now on is answered with 503.
+    void setUnavailable(bool unavailable) { unavailable_ = unavailable; }
 
-    /// Refuses records that clients append.
+    /// Answers 503 to clients that append records.
     void refuseAppends() { refusesAppends_ = true; }
 
-    /// Answers no further request on connections that have had one, as if they had fallen silent.
-    void silenceKeptConnections() { silent_ = true; }
+    /// Leaves further requests without an answer on connections that have had one, as if these had
+    /// failed silently.
+    void silenceKeptConnections() { keptConnectionsSilent_ = true; }
 
-    /// Leaves what arrives from now on without an answer, also later, or no longer.
-    void mute(bool mute) { mute_ = mute; }
+    /// Sets whether requests that arrive from now on are never answered.
+    void setMuted(bool muted) { muted_ = muted; }
 
     Endpoint endpoint() const { return server_.endpoint(); }
 
-    /// Reads of the log of a topic that have arrived.
+    /// Number of requests to read the log of a topic so far.
     std::size_t readsOf(const std::string &topic) const
     {
         return server_.count("/log-read?topic=" + topic);
@@ -60,10 +61,10 @@
     };
 
     void answer(const SeenRequest &request, ScriptPeer &peer);
-    /// Takes one record of a call as a client appends it.
+    /// Appends a record in the format of a client's call.
     void appendRecord(const std::string &topic, const std::string &record);
-    /// Whether a request that was not dropped on its arrival is by the end of its wait.
-    bool dropped(const SeenRequest &request, bool silentAtArrival) const;
+    /// Whether a request that was held is left without an answer at the end of its wait.
+    bool isDropped(const SeenRequest &request, bool silentAtArrival) const;
     void waitForRecord(const std::string &topic, std::size_t from, milliseconds wait);
     std::string newest(const std::string &topic);
     std::string read(const std::string &topic, std::size_t from);
@@ -72,10 +73,10 @@
     std::condition_variable appended_;
     bool stopping_ = false;
     std::map<std::string, std::vector<Record>> logs_;
-    std::atomic<bool> away_ = false;
+    std::atomic<bool> unavailable_ = false;
     std::atomic<bool> refusesAppends_ = false;
-    std::atomic<bool> silent_ = false;
-    std::atomic<bool> mute_ = false;
+    std::atomic<bool> keptConnectionsSilent_ = false;
+    std::atomic<bool> muted_ = false;
     ScriptedServer server_;
 };
 
--- a/Tests/Soak/SoakFaults.cpp
+++ b/Tests/Soak/SoakFaults.cpp
@@ -108,8 +108,8 @@
         return;
     case 1:
         tell_("the store is away" + times);
-        fleet_.store().away(true);
-        until(now + length, [this] { fleet_.store().away(false); });
+        fleet_.store().setUnavailable(true);
+        until(now + length, [this] { fleet_.store().setUnavailable(false); });
         return;
     default:
         const auto &[fault, word] = linkFaults.at(below(linkFaults.size()));
