--- a/Source/Programs/Gateway/BackendList.cpp
+++ b/Source/Programs/Gateway/BackendList.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-/// The platform guarantees that live servers are back in the list this long after an outage.
+/// The platform guarantees that live servers are back in the list at most this long after an
+/// outage.
 constexpr milliseconds maxReappearanceTime{2000};
-/// Duration of the read that returns them.
-constexpr milliseconds readTime{100};
+/// Time allowed for the read that returns them.
+constexpr milliseconds readAllowance{100};
 
 } // namespace
 
 BackendList::BackendList(BackendRegistry &registry, EventLog &log, milliseconds pollInterval)
     : registry_(registry), log_(log),
-      graceAfterOutage_(maxReappearanceTime + pollInterval + readTime)
+      keepMissingFor_(maxReappearanceTime + pollInterval + readAllowance)
 { }
 
 void BackendList::apply(const platform::KeyedRecord &record, TimePoint now)
@@ -34,11 +35,11 @@
         removeBackend(registry_, record.key);
         return;
     }
-    const auto known = registry_.backends.find(record.key);
-    const bool changed = known == registry_.backends.end()
-        || known->second.entry.draining != entry.value().draining
-        || known->second.entry.address != entry.value().address
-        || known->second.entry.startedAt != entry.value().startedAt;
+    const auto previous = registry_.backends.find(record.key);
+    const bool changed = previous == registry_.backends.end()
+        || previous->second.entry.draining != entry.value().draining
+        || previous->second.entry.address != entry.value().address
+        || previous->second.entry.startedAt != entry.value().startedAt;
     if (changed) {
         log_.info("backend.entry",
                   {{"backend", record.key},
@@ -71,15 +72,15 @@
 
 void BackendList::storeReconnected(TimePoint now)
 {
-    graceUntil_ = now + graceAfterOutage_;
+    keepMissingUntil_ = now + keepMissingFor_;
 }
 
 void BackendList::remove(const std::string &id, TimePoint now)
 {
     if (!registry_.backends.contains(id))
         return;
-    if (now < graceUntil_) {
-        missing_.try_emplace(id, graceUntil_);
+    if (now < keepMissingUntil_) {
+        missing_.try_emplace(id, keepMissingUntil_);
         return;
     }
     log_.info("backend.gone", {{"backend", id}});
--- a/Source/Programs/Gateway/BackendList.h
+++ b/Source/Programs/Gateway/BackendList.h
@@ -40,8 +40,8 @@
     EventLog &log_;
     bool known_ = false;
     /// How long a missing server is kept after an outage of the store.
-    milliseconds graceAfterOutage_;
-    TimePoint graceUntil_;
+    milliseconds keepMissingFor_;
+    TimePoint keepMissingUntil_;
     /// Servers that are missing after an outage, and until when they are kept.
     std::map<std::string, TimePoint> missing_;
 };
--- a/Source/Programs/Gateway/Exchange.cpp
+++ b/Source/Programs/Gateway/Exchange.cpp
@@ -16,10 +16,11 @@
 constexpr milliseconds connectTimeout{400};
 /// Bytes queued for a caller above which reading from its backend server pauses.
 constexpr std::size_t callerQueueBytes = 262144;
-/// Maximum load of a backend server, as a fraction of its slots, for a first send and for a retry.
-/// A retry may use more: its request has cost work already, and its caller waits for the answer.
+/// Maximum load of a backend server, as a fraction of its slots: for a first send or a move off a
+/// slow server, and for a retry after a failure. The latter may use more, because its request has
+/// cost work already and its caller waits for the rest.
 constexpr double maxLoadForFirstSend = 1.0;
-constexpr double maxLoadForRetry = 2.0;
+constexpr double maxLoadAfterFailure = 2.0;
 /// Interval after which a request that waits for a permit requests one again, possibly for another
 /// backend server.
 constexpr milliseconds permitRetryInterval{50};
@@ -74,7 +75,7 @@
     }
     if (!finished_)
         countEnd(0, "the caller left", monotonicNow());
-    stopWaiting();
+    endWait();
     releaseBackend();
 }
 
@@ -82,27 +83,27 @@
 {
     const BackendChoice choice = chooseNext(maxLoadForFirstSend, now);
     if (choice.backend != nullptr) {
-        stopWaiting();
+        endWait();
         noteDispatched(context_.admissionQueues[service_], now);
         markPermitWanted(context_.registry.limits, choice.preferredAtLimit, now);
         send(*choice.backend, now);
         return true;
     }
     nextDispatchAt_ = nextDispatchTime(choice, now);
-    // A later timeout that was set before stays: all slots of the group that the request waited for
-    // may be taken as soon as the group opens.
+    // The timeout never becomes earlier: a request that waited for a closed group keeps its longer
+    // timeout if all slots are taken as soon as the group opens.
     waitUntil_ = std::max(
         waitUntil_,
         queueTimeoutAt(
             context_.admissionTimeouts, choice.reason,
             {.arrived = arrived_, .deadline = deadline_, .targetLatency = route_.targetLatency}));
-    const bool mayWait = queued_ || shouldWait(choice, now);
+    const bool mayWait = countedInQueue_ || shouldWait(choice, now);
     if (now < waitUntil_ && mayWait) {
         markPermitWanted(context_.registry.limits, choice.preferredAtLimit, now);
-        startWaiting();
+        joinAdmissionQueue();
         return false;
     }
-    stopWaiting();
+    endWait();
     refuse(refusalReason(choice.reason, mayWait), choice, now);
     return true;
 }
@@ -116,21 +117,21 @@
                           now);
 }
 
-void Exchange::startWaiting()
+void Exchange::joinAdmissionQueue()
 {
-    if (queued_)
+    if (countedInQueue_)
         return;
     joinQueue(context_.admissionQueues[service_], priority_);
-    queued_ = true;
+    countedInQueue_ = true;
 }
 
-void Exchange::stopWaiting()
+void Exchange::endWait()
 {
     waiting_ = false;
-    if (!queued_)
+    if (!countedInQueue_)
         return;
     leaveQueue(context_.admissionQueues[service_], priority_);
-    queued_ = false;
+    countedInQueue_ = false;
 }
 
 void Exchange::send(BackendState &backend, TimePoint now)
@@ -147,7 +148,7 @@
     ++backend.ownInFlight;
     consumePermit(context_.registry.limits, backendId_, now);
     sentAt_ = now;
-    lastByteAt_ = now;
+    pauseBegunAt_ = now;
     head_ = {};
     body_.clear();
     splitter_.beginRun();
@@ -177,8 +178,8 @@
 void Exchange::onHead(const HttpResponseHead &head)
 {
     head_ = platform::decodeAnswerHead(head);
-    lastByteAt_ = monotonicNow();
-    noteServerSignals(context_, {backendId_, request_.attemptId, head_}, lastByteAt_);
+    pauseBegunAt_ = monotonicNow();
+    noteServerSignals(context_, {backendId_, request_.attemptId, head_}, pauseBegunAt_);
     BackendState *backend = currentBackend();
     if (backend == nullptr)
         return;
@@ -190,7 +191,7 @@
     const AnswerFeedback feedback{.load = head_.load,
                                   .notExecuted = head_.notExecuted,
                                   .asksForBackoff = head_.retryAfter > milliseconds(0)};
-    noteAnswer(*backend, feedback, inGroup_, lastByteAt_, context_.randomUnit());
+    noteAnswer(*backend, feedback, inGroup_, pauseBegunAt_, context_.randomUnit());
 }
 
 bool Exchange::forwardsStream() const
@@ -219,9 +220,9 @@
         firstEventAt_ = now;
         sink_.beginStream(head_.status, head_.forwardedFields);
     } else {
-        longestPause_ = std::max(longestPause_, remaining(lastByteAt_, now));
+        longestPause_ = std::max(longestPause_, remaining(pauseBegunAt_, now));
     }
-    lastByteAt_ = now;
+    pauseBegunAt_ = now;
     context_.lastProgressAt[service_] = now;
     sink_.sendStream(events);
     if (sink_.queuedBytes() > callerQueueBytes)
@@ -245,8 +246,9 @@
         completeStream();
         return;
     }
-    // A success without the seal, or in an encoding that was not requested, is not the backend
-    // server's own answer. After a part of a stream, only the rest of the stream may follow.
+    // Not the backend server's own answer: a success without the seal, which is the header field
+    // that marks such an answer, and an answer in an encoding that was not requested. A success on
+    // a streaming route must be an event stream. After a part of a stream only its rest may follow.
     const bool unusable = history_.answerBegun || head_.encoded
         || (head_.success() && (!head_.sealed || route_.kind == RequestKind::Streaming));
     if (unusable) {
@@ -258,14 +260,14 @@
         endSend(SendOutcome::ServerError, "the backend server failed");
         return;
     }
-    noteSuccessfulAnswer();
+    noteAnswerWithoutServerError();
     forwardAnswer();
 }
 
-/// Clears the failures of a backend server after an answer other than a server error. A server that
-/// fails every request answers at once, so it would have the least load and attract the service's
-/// requests.
-void Exchange::noteSuccessfulAnswer()
+/// Only an answer other than a server error ends the avoidance of a backend server. A server that
+/// fails every request answers at once, so without avoidance it would have the least load and
+/// attract the service's requests.
+void Exchange::noteAnswerWithoutServerError()
 {
     if (BackendState *backend = currentBackend())
         noteSuccess(*backend);
@@ -283,7 +285,7 @@
         return;
     }
     const int status = head_.status;
-    noteSuccessfulAnswer();
+    noteAnswerWithoutServerError();
     countSendEnd(context_.metrics, service_, "answered");
     releaseBackend();
     finish(status, "answered", now);
@@ -337,13 +339,13 @@
     const bool retry = mayRetry(route_, outcome, history_, left)
         && (outcome == SendOutcome::NeverSent
             || takeRetryToken(context_.retryBuckets[service_], context_.retryQuota, now));
-    BackendChoice noBackend{.reason = outcome == SendOutcome::NotExecuted
-                                ? NoBackendReason::AllFull
-                                : NoBackendReason::Unknown};
+    BackendChoice refusalCause{.reason = outcome == SendOutcome::NotExecuted
+                                   ? NoBackendReason::AllFull
+                                   : NoBackendReason::Unknown};
     if (retry) {
-        const BackendChoice choice = chooseNext(maxLoadForRetry, now);
+        const BackendChoice choice = chooseNext(maxLoadAfterFailure, now);
         if (choice.freeAt != TimePoint())
-            noBackend = choice;
+            refusalCause = choice;
         if (choice.backend != nullptr) {
             countRetry(context_.metrics, service_,
                        history_.answerBegun ? RetryCause::Resumed : RetryCause::Failed);
@@ -356,7 +358,7 @@
         forwardAnswer();
         return;
     case RetryDecision::Refuse:
-        refuse("not run by any backend server", noBackend, now);
+        refuse("not run by any backend server", refusalCause, now);
         return;
     case RetryDecision::Abort:
         finish(0, "broken off", now);
@@ -402,10 +404,10 @@
     if (route_.kind != RequestKind::Streaming || slow == nullptr
         || slowdownOf(*slow, now, context_.registry.loadLifetime) < moveAtSlowdown)
         return;
-    SendHistory after = history_;
-    ++after.delivered;
-    after.mayHaveRun = true;
-    if (!mayRetry(route_, SendOutcome::Incomplete, after, timeLeft(now)))
+    SendHistory historyAfterMove = history_;
+    ++historyAfterMove.delivered;
+    historyAfterMove.mayHaveRun = true;
+    if (!mayRetry(route_, SendOutcome::Incomplete, historyAfterMove, timeLeft(now)))
         return;
     const BackendChoice choice = chooseNext(maxLoadForFirstSend, now);
     const bool better = choice.backend != nullptr
@@ -417,7 +419,7 @@
                        {"from", backendId_},
                        {"pace", slow->reportedLoad->slowdown},
                        {"to", choice.backend->entry.id}});
-    history_ = after;
+    history_ = historyAfterMove;
     countSendEnd(context_.metrics, service_, "moved");
     countRetry(context_.metrics, service_, RetryCause::Moved);
     releaseBackend();
@@ -463,7 +465,7 @@
 void Exchange::finish(int status, const char *reason, TimePoint now)
 {
     finished_ = true;
-    stopWaiting();
+    endWait();
     LogFields fields = {
         {"id", request_.attemptId}, {"status", status},
         {"reason", reason},         {"route", route_.name},
@@ -474,8 +476,8 @@
         fields["longest_pause_s"] = secondsOf(longestPause_);
     }
     constexpr int firstClientError = 400;
-    const bool success = status != 0 && status < firstClientError;
-    context_.log.write(success ? LogLevel::Info : LogLevel::Warning, "request.end", fields);
+    const bool logAsInfo = status != 0 && status < firstClientError;
+    context_.log.write(logAsInfo ? LogLevel::Info : LogLevel::Warning, "request.end", fields);
     countEnd(status, reason, now);
 }
 
--- a/Source/Programs/Gateway/Exchange.h
+++ b/Source/Programs/Gateway/Exchange.h
@@ -55,7 +55,7 @@
     /// Reads from the backend server again, as the caller has received all queued bytes.
     void resumeReading();
 
-    /// Whether the request waits for its first slot.
+    /// Whether the first send is still pending.
     bool waiting() const { return waiting_; }
     bool finished() const { return finished_; }
     std::uint32_t priority() const { return priority_; }
@@ -65,8 +65,8 @@
 private:
     milliseconds timeLeft(TimePoint now) const { return remaining(now, deadline_); }
     bool shouldWait(const BackendChoice &choice, TimePoint now) const;
-    void startWaiting();
-    void stopWaiting();
+    void joinAdmissionQueue();
+    void endWait();
     void send(BackendState &backend, TimePoint now);
     bool acceptsHead(const HttpResponseHead &head) const;
     void onHead(const HttpResponseHead &head);
@@ -76,7 +76,7 @@
     void forwardEvents(std::string_view bytes);
     bool forwardsStream() const;
     void completeStream();
-    void noteSuccessfulAnswer();
+    void noteAnswerWithoutServerError();
     void forwardAnswer();
     void endSend(SendOutcome outcome, const std::string &reason);
     void releaseBackend();
@@ -106,14 +106,14 @@
     TimePoint nextDispatchAt_ = TimePoint::max();
     bool waiting_ = true;
     /// Whether the request is counted in the service's admission queue.
-    bool queued_ = false;
+    bool countedInQueue_ = false;
     bool finished_ = false;
     SendHistory history_;
     std::vector<std::string> tried_;
     std::unique_ptr<HttpCall> call_;
     std::string backendId_;
     TimePoint sentAt_;
-    TimePoint lastByteAt_;
+    TimePoint pauseBegunAt_;
     TimePoint firstEventAt_;
     milliseconds longestPause_{0};
     BackendAnswerHead head_;
--- a/Source/Programs/Gateway/Gateway.cpp
+++ b/Source/Programs/Gateway/Gateway.cpp
@@ -81,31 +81,32 @@
                                  .routes = nullptr,
                                  .rereadBackends =
                                      [this] { backendsWatch_->readSoon(monotonicNow()); }},
-          list_(registry_, log_, backendsPollInterval(settings_.drainTime)),
-          callers_(loop_, [this](int descriptor) { acceptCaller(descriptor); }),
-          readiness_(
+          backendList_(registry_, log_, backendsPollInterval(settings_.drainTime)),
+          callerListener_(loop_, [this](int descriptor) { acceptCaller(descriptor); }),
+          readinessListener_(
               loop_,
               [this](const HttpRequest &) { return StatusAnswer{.status = ready() ? 200 : 503}; }),
-          scrapes_(loop_,
-                   [this](const HttpRequest &request) {
-                       return answerScraper(request, [this] { return metricsText(); });
-                   }),
-          peers_(loop_,
-                 [this](const Endpoint &from, std::string_view bytes) {
-                     receiveMessage(from, bytes);
-                 }),
-          hellos_(context_, peers_, settings_.firstInternalPort)
+          metricsListener_(loop_,
+                           [this](const HttpRequest &request) {
+                               return answerScraper(request, [this] { return metricsText(); });
+                           }),
+          messageSocket_(loop_,
+                         [this](const Endpoint &from, std::string_view bytes) {
+                             receiveMessage(from, bytes);
+                         }),
+          hellos_(context_, messageSocket_, settings_.firstInternalPort)
     { }
 
     Result<void> run()
     {
         BOOST_OUTCOME_TRYV(Gateway::check(settings_));
-        BOOST_OUTCOME_TRYV(callers_.listen(*settings_.callerEndpoint));
-        BOOST_OUTCOME_TRYV(readiness_.listen(*settings_.readinessEndpoint));
+        BOOST_OUTCOME_TRYV(callerListener_.listen(*settings_.callerEndpoint));
+        BOOST_OUTCOME_TRYV(readinessListener_.listen(*settings_.readinessEndpoint));
         if (settings_.metricsEndpoint) {
-            BOOST_OUTCOME_TRYV(scrapes_.listen(*settings_.metricsEndpoint));
+            BOOST_OUTCOME_TRYV(metricsListener_.listen(*settings_.metricsEndpoint));
         }
-        BOOST_OUTCOME_TRYV(peers_.open({settings_.vmAddress.ip, settings_.firstInternalPort}));
+        BOOST_OUTCOME_TRYV(
+            messageSocket_.open({settings_.vmAddress.ip, settings_.firstInternalPort}));
         log_.info("process.start",
                   {{"callers", toText(*settings_.callerEndpoint)},
                    {"domain", settings_.failureDomain},
@@ -114,7 +115,7 @@
         directory_ = std::make_unique<GatewayDirectory>(
             loop_, pool_, log_, metrics_, settings_.storeEndpoint, settings_.vmName,
             Endpoint{settings_.vmAddress.ip, settings_.firstInternalPort});
-        permits_ = std::make_unique<LimitPermits>(context_, peers_, *directory_);
+        permits_ = std::make_unique<LimitPermits>(context_, messageSocket_, *directory_);
         scheduleCheck();
         loop_.run();
         log_.info("process.stop", {{"open_requests", busySessions()}});
@@ -135,22 +136,23 @@
                                     applyConfiguration(record);
                             },
                         .reconnected = [] {},
-                        .confirmed = [this](TimePoint at) { context_.routesConfirmedAt = at; },
+                        .answered = [this](TimePoint at) { context_.configurationReadAt = at; },
                         .upToDate = [](TimePoint) {}});
         backendsWatch_ = std::make_unique<StoreWatch>(
             loop_, pool_, log_, metrics_, settings_.storeEndpoint,
             WatchPlan{"backends", platform::backendsTopic, milliseconds(0),
                       backendsPollInterval(settings_.drainTime)},
             WatchEvents{
-                .record = [this](const auto &record) { list_.apply(record, monotonicNow()); },
+                .record =
+                    [this](const auto &record) { backendList_.apply(record, monotonicNow()); },
                 .snapshot =
-                    [this](const auto &records) { list_.applyAll(records, monotonicNow()); },
-                .reconnected = [this] { list_.storeReconnected(monotonicNow()); },
-                .confirmed = [](TimePoint) {},
+                    [this](const auto &records) { backendList_.applyAll(records, monotonicNow()); },
+                .reconnected = [this] { backendList_.storeReconnected(monotonicNow()); },
+                .answered = [](TimePoint) {},
                 .upToDate =
                     [this](TimePoint at) {
                         noteListRead(registry_, at);
-                        context_.backendsKnown = list_.known();
+                        context_.backendsKnown = backendList_.known();
                         scheduleDispatch();
                     }});
     }
@@ -165,7 +167,8 @@
             return;
         }
         const std::uint64_t version = decoded.value().version;
-        // Records that are read again, as after lost history, must not restore an older version.
+        // If the store no longer has the next record, the newest records are read again. They must
+        // not restore an older version.
         if (context_.routes && version <= context_.routes->configuration().version)
             return;
         context_.routes = std::make_shared<const RouteTable>(
@@ -263,7 +266,8 @@
         loop_.defer([this] { dispatchWaiting(); });
     }
 
-    /// Tries to dispatch the waiting requests, the most urgent first and then in order of arrival.
+    /// Tries to dispatch the waiting requests: the most urgent first, which have the lowest
+    /// priority number, and then in order of arrival.
     void dispatchWaiting()
     {
         dispatchScheduled_ = false;
@@ -290,7 +294,7 @@
         return exchange->waiting() ? exchange : nullptr;
     }
 
-    bool ready() const { return !stopping_ && context_.routes && list_.known(); }
+    bool ready() const { return !stopping_ && context_.routes && backendList_.known(); }
 
     std::string metricsText()
     {
@@ -315,21 +319,21 @@
         return metrics_.text();
     }
 
-    void updateStoreAge(const std::string &topic, const StoreWatch &watch, TimePoint now)
+    void updateStoreAge(const std::string &watchName, const StoreWatch &watch, TimePoint now)
     {
         if (watch.answeredAt())
-            setStoreAge(metrics_, topic, remaining(*watch.answeredAt(), now));
+            setStoreAge(metrics_, watchName, remaining(*watch.answeredAt(), now));
     }
 
     void scheduleCheck()
     {
         loop_.runAfter(checkPeriod, [this] {
-            check(monotonicNow());
+            checkTimeouts(monotonicNow());
             scheduleCheck();
         });
     }
 
-    void check(TimePoint now)
+    void checkTimeouts(TimePoint now)
     {
         std::vector<std::uint64_t> ids;
         ids.reserve(sessions_.size());
@@ -346,7 +350,7 @@
             scheduleDispatch();
         configurationWatch_->checkTimeouts(now);
         backendsWatch_->checkTimeouts(now);
-        list_.checkTimeouts(now);
+        backendList_.checkTimeouts(now);
         pool_.closeExpired(now);
         if (stopping_)
             checkStop(now);
@@ -390,7 +394,7 @@
             return;
         // If too few gateways of a failure domain are ready, the platform keeps sending callers
         // here. A request that is accepted too late would be cut off by the end of the process.
-        callers_.close();
+        callerListener_.close();
         std::vector<std::uint64_t> idle;
         for (const auto &[id, session] : sessions_) {
             if (session->idle())
@@ -420,11 +424,11 @@
     HttpClientPool pool_;
     BackendRegistry registry_;
     GatewayContext context_;
-    BackendList list_;
-    TcpListener callers_;
-    StatusListener readiness_;
-    StatusListener scrapes_;
-    DatagramSocket peers_;
+    BackendList backendList_;
+    TcpListener callerListener_;
+    StatusListener readinessListener_;
+    StatusListener metricsListener_;
+    DatagramSocket messageSocket_;
     SidecarHellos hellos_;
     std::unique_ptr<StoreWatch> configurationWatch_;
     std::unique_ptr<StoreWatch> backendsWatch_;
--- a/Source/Programs/Gateway/Gateway.h
+++ b/Source/Programs/Gateway/Gateway.h
@@ -22,7 +22,8 @@
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
 
-    /// Runs until SIGTERM or SIGINT, and then until the open requests or the grace period end.
+    /// Runs until SIGTERM or SIGINT. Then it accepts callers for some seconds more, and ends with
+    /// the last connection or just before the end of the grace period.
     /// @return An error if the settings are incomplete or a socket can't be opened.
     Result<void> run();
 
--- a/Source/Programs/Gateway/GatewayContext.h
+++ b/Source/Programs/Gateway/GatewayContext.h
@@ -40,7 +40,7 @@
     /// Null until the first configuration is known.
     std::shared_ptr<const RouteTable> routes;
     /// When the store last answered a read of the configuration; empty before its first answer.
-    std::optional<TimePoint> routesConfirmedAt{};
+    std::optional<TimePoint> configurationReadAt{};
     /// Whether the list of backend servers has been read.
     bool backendsKnown = false;
     /// Reads the list of backend servers again, after an answer showed that it has changed.
--- a/Source/Programs/Gateway/GatewayDirectory.cpp
+++ b/Source/Programs/Gateway/GatewayDirectory.cpp
@@ -34,7 +34,7 @@
              WatchEvents{.record = [this](const auto &record) { apply(record); },
                          .snapshot = [this](const auto &records) { applyAll(records); },
                          .reconnected = [] {},
-                         .confirmed = [](TimePoint) {},
+                         .answered = [](TimePoint) {},
                          .upToDate = [](TimePoint) {}})
 { }
 
--- a/Source/Programs/Gateway/GatewayDirectory.h
+++ b/Source/Programs/Gateway/GatewayDirectory.h
@@ -9,7 +9,8 @@
 
 namespace wisteria {
 
-/// All gateways that are listed in the store. Each gateway writes its own entry when it starts.
+/// All gateways that are listed in the store. Each gateway writes its own entry whenever the list
+/// has none with its current address.
 class GatewayDirectory
 {
 public:
@@ -21,12 +22,13 @@
     GatewayDirectory(const GatewayDirectory &) = delete;
     GatewayDirectory &operator=(const GatewayDirectory &) = delete;
 
-    /// All gateways if this one is listed with its current address, otherwise none. A gateway that
-    /// has not read the list yet would treat itself as the only one.
+    /// All gateways if this one is listed with its current address, otherwise none; `LimitPermits`
+    /// then uses a fixed share of each limit. A gateway that does not know the others yet must not
+    /// act as the only one.
     PeerGateways &gateways() { return isListed() ? gateways_ : noGateways_; }
     const std::string &self() const { return self_; }
 
-    /// Checks the timeouts of calls, and writes this gateway's entry if it is missing.
+    /// Checks the timeouts of calls, and writes this gateway's entry if it is missing or outdated.
     void checkTimeouts(TimePoint now);
 
 private:
--- a/Source/Programs/Gateway/GatewayMetrics.h
+++ b/Source/Programs/Gateway/GatewayMetrics.h
@@ -16,13 +16,15 @@
     std::string service{};
     /// HTTP status of the answer; 0 if the connection ended without a complete answer.
     int status = 0;
-    /// One of a fixed set of reasons, which the log line of the request has as well.
+    /// One of a fixed set of reasons. The log line of the request has it too, or a more precise
+    /// one.
     std::string reason;
     /// From the arrival to the end.
     milliseconds duration{0};
     /// From the arrival to the first event; only for streams.
     std::optional<milliseconds> firstEvent{};
-    /// Longest pause between two events; only for streams.
+    /// Longest pause between two events of one send, or between the head of a resumed stream and
+    /// its first event; only for streams.
     std::optional<milliseconds> longestPause{};
 };
 
--- a/Source/Programs/Gateway/LimitPermits.cpp
+++ b/Source/Programs/Gateway/LimitPermits.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Share of a limit that gateways without known peers use together. It is below 1 because their
-/// uncoordinated requests may coincide.
-constexpr double shareWithoutPeers = 0.5;
+/// Share of a limit that gateways use together while they are not listed in the store. It is below
+/// 1 because their uncoordinated requests may coincide.
+constexpr double shareWhileNotListed = 0.5;
 
 std::uint32_t ageOf(const AdvertisedLimit &advertised, TimePoint now)
 {
@@ -23,9 +23,9 @@
 
 } // namespace
 
-LimitPermits::LimitPermits(GatewayContext &context, DatagramSocket &peers,
+LimitPermits::LimitPermits(GatewayContext &context, DatagramSocket &socket,
                            GatewayDirectory &directory)
-    : context_(context), peers_(peers), directory_(directory)
+    : context_(context), socket_(socket), directory_(directory)
 { }
 
 bool LimitPermits::requestPermits(TimePoint now)
@@ -49,9 +49,9 @@
     PeerGateways &gateways = directory_.gateways();
     const auto owner = limitOwnerOf(gateways, request.server, now);
     OwnedLimit &owned = ownedLimits_[request.server];
-    // Without known peers, each of the assumed number of gateways grants itself an equal share.
+    // While not listed, each of the assumed number of gateways grants itself an equal share.
     if (!owner) {
-        const double share = shareWithoutPeers / assumedGateways(context_.retryQuota);
+        const double share = shareWhileNotListed / assumedGateways(context_.retryQuota);
         return applyOwnReply(answerWithoutPeers(owned, request, share, context_.randomUnit(), now),
                              now);
     }
@@ -65,10 +65,10 @@
 /// Probes unresponsive gateways. One that replies owns its limits again.
 void LimitPermits::probeUnresponsive(const PermitRequest &request, TimePoint now)
 {
-    const PermitRequest nothing{.server = request.server, .advertised = request.advertised};
+    const PermitRequest probe{.server = request.server, .advertised = request.advertised};
     for (auto &[name, gateway] : directory_.gateways()) {
         if (shouldProbe(gateway, now))
-            send(gateway, nothing, now);
+            send(gateway, probe, now);
     }
 }
 
@@ -78,7 +78,7 @@
     noteRequestSent(gateway, now);
     if (!wasUnresponsive && isUnresponsive(gateway, now))
         context_.log.warn("gateway.silent", {{"address", toText(gateway.address)}});
-    peers_.send(
+    socket_.send(
         gateway.address,
         encodeMessage(PermitRequestMessage{.server = request.server,
                                            .wanted = request.wanted,
@@ -100,14 +100,14 @@
         .number = message.number,
         .advertised = advertisedLimitOf(message.perSecond, message.ageMilliseconds, now)};
     const PermitReply reply = answerPermitRequest(ownedLimits_[message.server], request, now);
-    peers_.send(from,
-                encodeMessage(PermitReplyMessage{
-                    .server = reply.server,
-                    .number = reply.number,
-                    .granted = reply.granted,
-                    .nextInMilliseconds = static_cast<std::uint32_t>(reply.nextIn.count()),
-                    .perSecond = reply.advertised.perSecond,
-                    .ageMilliseconds = ageOf(reply.advertised, now)}));
+    socket_.send(from,
+                 encodeMessage(PermitReplyMessage{
+                     .server = reply.server,
+                     .number = reply.number,
+                     .granted = reply.granted,
+                     .nextInMilliseconds = static_cast<std::uint32_t>(reply.nextIn.count()),
+                     .perSecond = reply.advertised.perSecond,
+                     .ageMilliseconds = ageOf(reply.advertised, now)}));
 }
 
 bool LimitPermits::receive(const Endpoint &from, const PermitReplyMessage &message, TimePoint now)
--- a/Source/Programs/Gateway/LimitPermits.h
+++ b/Source/Programs/Gateway/LimitPermits.h
@@ -15,9 +15,10 @@
 class LimitPermits
 {
 public:
-    LimitPermits(GatewayContext &context, DatagramSocket &peers, GatewayDirectory &directory);
+    LimitPermits(GatewayContext &context, DatagramSocket &socket, GatewayDirectory &directory);
 
-    /// Sends the permit requests that are due, and answers those for limits that this gateway owns.
+    /// Requests the permits that are due: from another gateway by a message, or at once if this
+    /// gateway owns the limit. Also forgets old limits.
     /// @return Whether a caller's request may now be sent that was not permitted before.
     bool requestPermits(TimePoint now);
     /// Replies to a permit request of another gateway.
@@ -33,7 +34,7 @@
     bool applyOwnReply(const PermitReply &reply, TimePoint now);
 
     GatewayContext &context_;
-    DatagramSocket &peers_;
+    DatagramSocket &socket_;
     GatewayDirectory &directory_;
     /// Limits that this gateway owns, by backend server.
     OwnedLimits ownedLimits_;
--- a/Source/Programs/Gateway/Session.cpp
+++ b/Source/Programs/Gateway/Session.cpp
@@ -65,7 +65,7 @@
     keepAlive_ = raw.keepAlive;
     auto decoded = platform::decodeCallerRequest(std::move(raw));
     if (decoded.has_error()) {
-        rejectRequest(400, "", milliseconds(0), decoded.error().message.c_str());
+        answerWithoutExchange(400, "", milliseconds(0), decoded.error().message.c_str());
         return;
     }
     const TimePoint now = monotonicNow();
@@ -100,7 +100,8 @@
     const milliseconds retryAfter =
         retryAfterFor(context_.retryAfterPolicy, NoBackendReason::Unknown, milliseconds(0),
                       context_.randomUnit());
-    rejectRequest(503, early.request.attemptId, retryAfter, "no configuration is known yet");
+    answerWithoutExchange(503, early.request.attemptId, retryAfter,
+                          "no configuration is known yet");
 }
 
 void Session::admit(CallerRequest request, TimePoint arrived, TimePoint now)
@@ -109,16 +110,16 @@
     const Access access = accessOf(*context_.routes, request.host, request.path(),
                                    request.apiKey ? &*request.apiKey : nullptr);
     if (access.fault == AccessFault::NoRoute) {
-        rejectRequest(404, id, milliseconds(0), "no route");
+        answerWithoutExchange(404, id, milliseconds(0), "no route");
         return;
     }
     if (access.fault == AccessFault::UnknownKey) {
-        rejectRequest(401, id, milliseconds(0), "unknown API key");
+        answerWithoutExchange(401, id, milliseconds(0), "unknown API key");
         return;
     }
     const std::string *service = serviceOf(*access.route, context_.randomUnit());
     if (service == nullptr) {
-        rejectRequest(503, id, noServiceRetryAfter, "the route has no service");
+        answerWithoutExchange(503, id, noServiceRetryAfter, "the route has no service");
         return;
     }
     exchange_ =
@@ -141,21 +142,23 @@
 void Session::onFault(RequestFault fault)
 {
     keepAlive_ = false;
-    rejectRequest(statusOf(fault), "", milliseconds(0), unreadableReason);
+    answerWithoutExchange(statusOf(fault), "", milliseconds(0), unreadableReason);
 }
 
-void Session::rejectRequest(int status, const std::string &attemptId, milliseconds retryAfter,
-                            const char *reason)
+void Session::answerWithoutExchange(int status, const std::string &attemptId,
+                                    milliseconds retryAfter, const char *reason)
 {
     LogFields fields = {{"id", attemptId}, {"status", status}, {"reason", reason}};
     if (context_.routes)
         fields["config"] = context_.routes->configuration().version;
-    if (context_.routesConfirmedAt)
-        fields["config_age_s"] = secondsOf(remaining(*context_.routesConfirmedAt, monotonicNow()));
+    if (context_.configurationReadAt)
+        fields["config_age_s"] =
+            secondsOf(remaining(*context_.configurationReadAt, monotonicNow()));
     context_.log.warn("request.end", fields);
-    const bool read = status != statusOf(RequestFault::Malformed);
+    // The message of a decoder is free text; the metric has a fixed set of reasons.
+    const bool reasonIsFixed = status != statusOf(RequestFault::Malformed);
     countRequestEnd(context_.metrics,
-                    {.status = status, .reason = read ? reason : unreadableReason});
+                    {.status = status, .reason = reasonIsFixed ? reason : unreadableReason});
     answer(status, platform::ownAnswerFields(attemptId, retryAfter), "");
 }
 
@@ -223,7 +226,7 @@
         return;
     if (begun) {
         keepAlive_ = false;
-        rejectRequest(408, "", milliseconds(0), "the request did not arrive in time");
+        answerWithoutExchange(408, "", milliseconds(0), "the request did not arrive in time");
         return;
     }
     closeIdle();
--- a/Source/Programs/Gateway/Session.h
+++ b/Source/Programs/Gateway/Session.h
@@ -50,8 +50,8 @@
     void logEarlyAbandoned();
     void admit(CallerRequest request, TimePoint arrived, TimePoint now);
     void onFault(RequestFault fault);
-    void rejectRequest(int status, const std::string &attemptId, milliseconds retryAfter,
-                       const char *reason);
+    void answerWithoutExchange(int status, const std::string &attemptId, milliseconds retryAfter,
+                               const char *reason);
     void finishRequest(bool keepAlive);
 
     void answer(int status, const HttpFields &fields, std::string_view body) override;
--- a/Source/Programs/Gateway/SidecarHellos.cpp
+++ b/Source/Programs/Gateway/SidecarHellos.cpp
@@ -31,9 +31,9 @@
 
 } // namespace
 
-SidecarHellos::SidecarHellos(const GatewayContext &context, DatagramSocket &peers,
+SidecarHellos::SidecarHellos(const GatewayContext &context, DatagramSocket &socket,
                              std::uint16_t port)
-    : context_(context), peers_(peers), port_(port)
+    : context_(context), socket_(socket), port_(port)
 { }
 
 void SidecarHellos::sendDue(TimePoint now)
@@ -62,7 +62,7 @@
     const EngineList list = engineListOf(service, engine);
     const std::string bytes = encodeMessage(GatewayHello{.listDigest = digestOf(list)});
     for (const Endpoint &address : toAll ? list.engines : silent)
-        peers_.send({address.ip, port_}, bytes);
+        socket_.send({address.ip, port_}, bytes);
 }
 
 std::vector<Endpoint> SidecarHellos::silentEngines(const std::string &service, TimePoint now) const
@@ -84,7 +84,7 @@
         if (state.entry.service == service && !state.replaced)
             list.engines.push_back(state.entry.address);
     }
-    // In the registry's order, by id, lists of the same engines could differ.
+    // In the registry's order, by id, lists of the same engines and so their digests could differ.
     std::sort(list.engines.begin(), list.engines.end());
     return list;
 }
@@ -93,18 +93,18 @@
 {
     if (!context_.routes)
         return;
-    const auto beside = std::find_if(
+    const auto engineOnVm = std::find_if(
         context_.registry.backends.begin(), context_.registry.backends.end(),
         [&sidecar](const auto &entry) {
             return entry.second.entry.address.ip == sidecar.ip && !entry.second.replaced;
         });
-    if (beside == context_.registry.backends.end())
+    if (engineOnVm == context_.registry.backends.end())
         return;
-    const std::string &name = beside->second.entry.service;
+    const std::string &name = engineOnVm->second.entry.service;
     const auto &services = context_.routes->configuration().services;
     const auto service = services.find(name);
     if (service != services.end() && isGroup(service->second))
-        peers_.send(sidecar, encodeMessage(engineListOf(name, *service->second.engine)));
+        socket_.send(sidecar, encodeMessage(engineListOf(name, *service->second.engine)));
 }
 
 } // namespace wisteria
--- a/Source/Programs/Gateway/SidecarHellos.h
+++ b/Source/Programs/Gateway/SidecarHellos.h
@@ -10,12 +10,13 @@
 
 namespace wisteria {
 
-/// Announces this gateway to the sidecars of its services' engines.
+/// Announces this gateway to the sidecars of its services' engines. The entry of a group's backend
+/// server has the address of its engine.
 class SidecarHellos
 {
 public:
     /// @param port Port on which sidecars receive datagrams.
-    SidecarHellos(const GatewayContext &context, DatagramSocket &peers, std::uint16_t port);
+    SidecarHellos(const GatewayContext &context, DatagramSocket &socket, std::uint16_t port);
 
     /// Sends hellos that are due. A hello contains the digest of this gateway's engine list.
     void sendDue(TimePoint now);
@@ -25,11 +26,12 @@
 private:
     void sendHello(const std::string &service, const EngineProfile &engine, bool toAll,
                    TimePoint now);
+    /// Engines that became known recently and whose sidecars have not reported yet.
     std::vector<Endpoint> silentEngines(const std::string &service, TimePoint now) const;
     EngineList engineListOf(const std::string &service, const EngineProfile &engine) const;
 
     const GatewayContext &context_;
-    DatagramSocket &peers_;
+    DatagramSocket &socket_;
     std::uint16_t port_;
     TimePoint sentToAllAt_;
     TimePoint sentAt_;
--- a/Source/Programs/Gateway/StoreWatch.cpp
+++ b/Source/Programs/Gateway/StoreWatch.cpp
@@ -92,7 +92,8 @@
         return;
     }
     succeeded();
-    // The pages are not one snapshot, so the log is read from the smallest end offset among them.
+    // The pages are read at different times, so the log is read from the smallest end offset among
+    // them.
     newestEnd_ = std::min(newestEnd_.value_or(page.value().endOffset), page.value().endOffset);
     auto &records = page.value().records;
     const bool more = page.value().hasMore && !records.empty();
@@ -165,7 +166,7 @@
     failures_ = 0;
     countStoreCall(metrics_, plan_.name, "answered");
     answeredAt_ = monotonicNow();
-    events_.confirmed(*answeredAt_);
+    events_.answered(*answeredAt_);
 }
 
 void StoreWatch::fail(const std::string &reason, TimePoint now)
--- a/Source/Programs/Gateway/StoreWatch.h
+++ b/Source/Programs/Gateway/StoreWatch.h
@@ -38,7 +38,7 @@
     /// The store answers again after failed calls.
     std::function<void()> reconnected;
     /// The store answered a read of the topic at this time.
-    std::function<void(TimePoint)> confirmed;
+    std::function<void(TimePoint)> answered;
     /// All records that the store had at this time have been reported.
     std::function<void(TimePoint)> upToDate;
 };
--- a/Tests/Gateway/DemoPlatform.cpp
+++ b/Tests/Gateway/DemoPlatform.cpp
@@ -1,7 +1,7 @@
 // Stand-ins of the platform for the demo: a store, two model engines and one plain service on
 // loopback. Prints "ready store=ADDRESS" and reads commands from standard input:
-//   route        publishes a configuration version with one more route
-//   drain ID     marks a backend server as draining in the store
+//   route        publishes version 2 of the configuration, with one more route; works once
+//   drain ID     marks a backend server as draining in the store; valid only for model-1
 //   runs         prints how often each backend server ran a request
 
 #include <iostream>
--- a/Tests/Gateway/GatewayFleet.cpp
+++ b/Tests/Gateway/GatewayFleet.cpp
@@ -52,13 +52,13 @@
 
 void GatewayFleet::start()
 {
-    const int nowhere = ::open("/dev/null", O_WRONLY | O_CLOEXEC);
+    const int devNull = ::open("/dev/null", O_WRONLY | O_CLOEXEC);
     for (std::size_t i = 0; i < callers_.size(); ++i) {
         const std::string settings = writeSettings(
             "front-" + std::to_string(i), {.store = store.endpoint(), .callers = callers_[i]});
-        children_.push_back(startProgram("wisteria-gateway", settings, {}, nowhere));
+        children_.push_back(startProgram("wisteria-gateway", settings, {}, devNull));
     }
-    ::close(nowhere);
+    ::close(devNull);
     for (const Endpoint &callers : callers_) {
         constexpr int noRoute = 404;
         const bool known = eventually([&callers] {
--- a/Tests/Gateway/GatewayFleet.h
+++ b/Tests/Gateway/GatewayFleet.h
@@ -50,8 +50,8 @@
     TimePoint at;
 };
 
-/// Requests that reached one backend server, and when each gateway first got the server's signal
-/// (a limit, a backoff or draining).
+/// Requests that reached one backend server, and when each gateway first got its server signal: a
+/// limit, a backoff or draining.
 class ArrivalLog
 {
 public:
--- a/Tests/Gateway/GatewayTest.cpp
+++ b/Tests/Gateway/GatewayTest.cpp
@@ -58,7 +58,7 @@
     REQUIRE(eventually([&] { return gateway.store.readsOf("keyed.op") == 0; }));
     auto early = std::async(std::launch::async,
                             [&] { return gateway.callUntil(requestFor("/once/x", "a1"), 200); });
-    // A refusal with Retry-After is sent only after a time in which the store could be read.
+    // The request must still wait: a refusal comes later than a read of the store takes.
     REQUIRE(early.wait_for(milliseconds(300)) == std::future_status::timeout);
     gateway.store.setUnavailable(false);
     REQUIRE(early.get().status == 200);
@@ -136,13 +136,13 @@
     ScriptedServer failing([](const SeenRequest &request, ScriptPeer &peer) {
         peer.send(sealed(request, 500, "no"));
     });
-    ScriptedServer sound([](const SeenRequest &request, ScriptPeer &peer) {
+    ScriptedServer healthy([](const SeenRequest &request, ScriptPeer &peer) {
         peer.send(sealed(request, 200, "here"));
     });
     GatewayUnderTest gateway;
     gateway.configure();
     gateway.addBackend("i-failing", "plain", failing);
-    gateway.addBackend("i-sound", "plain", sound);
+    gateway.addBackend("i-sound", "plain", healthy);
     gateway.waitUntilReady();
     constexpr int requests = 40;
     for (int i = 0; i < requests; ++i)
@@ -202,14 +202,15 @@
     REQUIRE(toOld <= 1);
 }
 
-// Guards against every gateway learning only from its own failed sends, until the next read of the
-// list, which engines are gone after a restart.
-TEST_CASE("A refusal by another server at the address causes a read of the list at once")
+// Guards against failed sends of every gateway to engines that a restart has replaced, until the
+// next regular read of the list.
+TEST_CASE("A 421 from a backend server makes the gateway read the list at once")
 {
     ScriptedServer backend(
         [](const SeenRequest &request, ScriptPeer &peer) { peer.send(sealed(request, 421, "")); });
     GatewayUnderTest gateway;
     gateway.startWithBackend("i-old", "plain", backend);
+    // Waits for a regular read, so that the next one is not due within the 400 ms below.
     const std::size_t before = gateway.store.readsOf("keyed.servers");
     REQUIRE(eventually([&] { return gateway.store.readsOf("keyed.servers") > before; }));
     const std::size_t regular = gateway.store.readsOf("keyed.servers");
@@ -300,7 +301,7 @@
 // Guards against 404 for a route that operators added seconds ago. All open connections to the
 // store fail silently, without a reset; after the timeout of a read, the next one must not use
 // another kept connection.
-TEST_CASE("A version is in force in time although kept connections to the store are silent")
+TEST_CASE("A new configuration is in force within 3 s although kept store connections are silent")
 {
     ScriptedServer backend([](const SeenRequest &request, ScriptPeer &peer) {
         peer.send(sealed(request, 200, "here"));
@@ -333,7 +334,7 @@
 // Guards against cutting every request in flight at each planned stop. If the thread that writes
 // log lines starts before the signals are blocked, the kernel delivers SIGTERM to it, and the
 // default action ends the process.
-TEST_CASE("The programs survive SIGHUP and stop in order on SIGTERM")
+TEST_CASE("The programs survive SIGHUP and exit with code 0 on SIGTERM")
 {
     for (const char *program : {"wisteria-gateway", "wisteria-sidecar"}) {
         const ScriptedServer engine(
--- a/Tests/Gateway/GatewayUnderTest.cpp
+++ b/Tests/Gateway/GatewayUnderTest.cpp
@@ -45,11 +45,11 @@
     ::setenv("WISTERIAWIND_CONFIG", settings.c_str(), 1);
     if (output >= 0)
         ::dup2(output, STDOUT_FILENO);
-    std::vector<char *> words = {const_cast<char *>(path.c_str())};
+    std::vector<char *> argumentVector = {const_cast<char *>(path.c_str())};
     for (const std::string &argument : arguments)
-        words.push_back(const_cast<char *>(argument.c_str()));
-    words.push_back(nullptr);
-    ::execv(path.c_str(), words.data());
+        argumentVector.push_back(const_cast<char *>(argument.c_str()));
+    argumentVector.push_back(nullptr);
+    ::execv(path.c_str(), argumentVector.data());
     ::_exit(127);
 }
 
--- a/Tests/Gateway/GatewayUnderTest.h
+++ b/Tests/Gateway/GatewayUnderTest.h
@@ -52,10 +52,12 @@
 nlohmann::json routeOf(const std::string &prefix, const std::string &kind,
                        const std::string &service, bool resumable);
 
-/// A configuration with routes of each kind: /once/, /again/ and /stream/.
+/// A configuration with one route of each kind: /once/ (non-idempotent), /again/ (idempotent) and
+/// /stream/ (streaming, resumable).
 nlohmann::json configurationOf(int version);
 
-/// A gateway in a separate thread, with a stand-in of the store.
+/// A gateway in a separate thread of the test process, with a stand-in of the store. Its event loop
+/// handles SIGTERM and SIGHUP of the process.
 class GatewayUnderTest
 {
 public:
--- a/Tests/Gateway/ScriptedServer.h
+++ b/Tests/Gateway/ScriptedServer.h
@@ -99,8 +99,8 @@
 
     std::string header(const std::string &name) const;
 };
-/// Sends a request on a new connection and reads until the end of the answer, the end of the
-/// connection or a time limit.
+/// Sends a request on a new connection and reads until the end of the answer or of the connection,
+/// or until 8 s pass without a byte.
 CallResult callServer(const Endpoint &to, const std::string &request);
 
 /// A request whose caller can disconnect before the end of the answer.
@@ -112,8 +112,8 @@
     OpenCall(const OpenCall &) = delete;
     OpenCall &operator=(const OpenCall &) = delete;
 
-    /// Waits up to two seconds for the first bytes of the answer.
-    /// @return Whether they came.
+    /// Waits up to two seconds until bytes of the answer arrive or the connection ends.
+    /// @return Whether one of both happened.
     bool waitForBytes() const;
     void disconnect();
 
--- a/Tests/Gateway/ServerDrainingTest.cpp
+++ b/Tests/Gateway/ServerDrainingTest.cpp
@@ -83,7 +83,7 @@
     fleet.addServer("i-1", leaving);
     fleet.addServer("i-2", sound);
     fleet.start();
-    fleet.store.setMuted(true);
+    fleet.store.setSilent(true);
     const auto results = fleet.sendAtRate("/again/x", 24, drainTime + seconds(3));
     REQUIRE(arrivals.countLaterThan(drainTime) == 0);
     for (const CallResult &result : results)
--- a/Tests/Gateway/ServerLimitTest.cpp
+++ b/Tests/Gateway/ServerLimitTest.cpp
@@ -144,7 +144,7 @@
     fleet.addServer("i-1", inNeed);
     fleet.start();
     fleet.sendAtRate("/again/x", 12, seconds(1));
-    fleet.store.setMuted(true);
+    fleet.store.setSilent(true);
     const auto results = fleet.sendAtRate("/again/x", 12, settled + span);
     REQUIRE(maxWithin(arrivals.fromSignalled(), arrivals.firstSignalAt() + settled, span)
             <= allowedWithin(2));
--- a/Tests/Gateway/StoreOutageTest.cpp
+++ b/Tests/Gateway/StoreOutageTest.cpp
@@ -75,9 +75,9 @@
 
 } // namespace
 
-// Guards against logs that don't show why a gateway used an old version. With a line for the first
-// failed call of an outage only, slow calls look like calls on dead connections, and a refusal must
-// state the age of the version that decided it.
+// Guards against logs that don't show why a gateway used an old version. The log must show each
+// failed store call with its duration and connection, to tell slow calls from dead connections, and
+// for a refused request the age of the configuration that decided it.
 TEST_CASE("Each failed store call is logged, and a refusal states the age of its configuration")
 {
     StoreStandIn store;
@@ -87,7 +87,7 @@
     // Requests also wait until the list of backend servers has been read.
     REQUIRE(eventually(
         [&] { return callServer(gateway.callers(), requestFor("/none/x", "a0")).status == 404; }));
-    store.setMuted(true);
+    store.setSilent(true);
     const nlohmann::json lost = gateway.waitForLine("store.lost", "what", "backends");
     REQUIRE(lost.value("after_s", 0.0) >= 0.7);
     const nlohmann::json failed = gateway.waitForLine("store.call_failed", "what", "backends");
@@ -103,9 +103,9 @@
 
 // Guards against a version that comes into force late after an outage of the store, so that callers
 // with a new key get 401. A read that waits for changes and begins in the outage would time out
-// only after its whole wait of 2.7 s. With a maximum backoff of 0.8 s after it, the version would
-// be read 2.8 s after its acknowledgement.
-TEST_CASE("A version is in force in time once a silent store answers again")
+// only after its whole wait, and the maximum backoff would follow. With 2.7 s and 0.8 s, partly
+// during the outage, the version would be read 2.8 s after its acknowledgement.
+TEST_CASE("A new configuration is in force within 2 s after a silent store answers again")
 {
     // A version must be in force this long after its acknowledgement.
     constexpr seconds inForceWithin{2};
@@ -116,9 +116,9 @@
     gateway.startWithBackend("i-1", "plain", backend);
     gateway.callUntil(requestFor("/once/x", "a1"), 200);
     const std::size_t readsBefore = gateway.store.readsOf("keyed.op");
-    gateway.store.setMuted(true);
+    gateway.store.setSilent(true);
     REQUIRE(eventually([&] { return gateway.store.readsOf("keyed.op") >= readsBefore + 3; }));
-    gateway.store.setMuted(false);
+    gateway.store.setSilent(false);
     nlohmann::json next = configurationOf(2);
     next["tenants"][0]["api_keys"] = {"key1", "key2"};
     gateway.store.put("keyed.op", "config", next);
--- a/Tests/Gateway/StoreStandIn.cpp
+++ b/Tests/Gateway/StoreStandIn.cpp
@@ -60,7 +60,7 @@
 {
     const std::string target = request.target();
     const bool silentAtArrival = keptConnectionsSilent_;
-    if (muted_ || (silentAtArrival && request.requestsBefore > 0))
+    if (silent_ || (silentAtArrival && request.requestsBefore > 0))
         return;
     if (unavailable_ || (refusesAppends_ && target.starts_with("/log-append"))) {
         peer.send(plainResponse(503, "", ""));
@@ -94,7 +94,7 @@
 {
     const bool connectionFellSilent =
         keptConnectionsSilent_ && (!silentAtArrival || request.requestsBefore > 0);
-    return muted_ || connectionFellSilent;
+    return silent_ || connectionFellSilent;
 }
 
 void StoreStandIn::waitForRecord(const std::string &topic, std::size_t from, milliseconds wait)
--- a/Tests/Gateway/StoreStandIn.h
+++ b/Tests/Gateway/StoreStandIn.h
@@ -38,12 +38,13 @@
     /// Answers 503 to clients that append records.
     void refuseAppends() { refusesAppends_ = true; }
 
-    /// Leaves further requests without an answer on connections that have had one, as if these had
-    /// failed silently.
+    /// From now on answers only the first request of each connection, as if the kept connections
+    /// had failed silently. Reads that are held now get no answer.
     void silenceKeptConnections() { keptConnectionsSilent_ = true; }
 
-    /// Sets whether requests that arrive from now on are never answered.
-    void setMuted(bool muted) { muted_ = muted; }
+    /// While set, no request is answered, not even later; a read whose wait ends then gets none
+    /// either.
+    void setSilent(bool silent) { silent_ = silent; }
 
     Endpoint endpoint() const { return server_.endpoint(); }
 
@@ -76,7 +77,7 @@
     std::atomic<bool> unavailable_ = false;
     std::atomic<bool> refusesAppends_ = false;
     std::atomic<bool> keptConnectionsSilent_ = false;
-    std::atomic<bool> muted_ = false;
+    std::atomic<bool> silent_ = false;
     ScriptedServer server_;
 };
 
