--- a/Source/Programs/Gateway/Exchange.cpp
+++ b/Source/Programs/Gateway/Exchange.cpp
@@ -339,9 +339,9 @@
     const bool retry = mayRetry(route_, outcome, history_, left)
         && (outcome == SendOutcome::NeverSent
             || takeRetryToken(context_.retryBuckets[service_], context_.retryQuota, now));
-    BackendChoice refusalCause{.reason = outcome == SendOutcome ::NotExecuted
-                                   ? NoBackendReason ::AllFull
-                                   : NoBackendReason ::NoneAvailable};
+    BackendChoice refusalCause{.reason = outcome == SendOutcome::NotExecuted
+                                   ? NoBackendReason::AllFull
+                                   : NoBackendReason::NoneAvailable};
     if (retry) {
         const BackendChoice choice = chooseNext(maxLoadAfterFailure, now);
         if (choice.retryAt != TimePoint())
--- a/Source/Programs/Gateway/Gateway.cpp
+++ b/Source/Programs/Gateway/Gateway.cpp
@@ -52,7 +52,7 @@
         ServiceSlots &service = slots[state.entry.service];
         service.service = state.entry.service;
         ++service.backends;
-        service.taken += expectedLoad(state, now, registry.loadLifetime);
+        service.taken += expectedRequests(state, now, registry.loadLifetime);
         service.total += state.entry.slots;
     }
     std::vector<ServiceSlots> list;
--- a/Source/Programs/Gateway/Session.cpp
+++ b/Source/Programs/Gateway/Session.cpp
@@ -113,7 +113,7 @@
         answerWithoutExchange(404, id, milliseconds(0), "no route");
         return;
     }
-    if (access.fault == AccessFault::UnknownKey) {
+    if (access.fault == AccessFault::NoValidKey) {
         answerWithoutExchange(401, id, milliseconds(0), "unknown API key");
         return;
     }
--- a/Source/Request/AdmissionQueue.h
+++ b/Source/Request/AdmissionQueue.h
@@ -12,7 +12,8 @@
 /// a surge within its first second.
 constexpr milliseconds dispatchRateWindow{500};
 
-/// Number of requests that may always queue: a service that was briefly stalled, or that gets few
+/// A request may always queue if it and the queued requests of higher or equal priority are no more
+/// than this number: a service that was briefly stalled, or that gets few
 /// requests, has no meaningful dispatch rate.
 constexpr double minQueueLength = 2;
 
--- a/Source/Request/AdmissionTimeouts.h
+++ b/Source/Request/AdmissionTimeouts.h
@@ -10,9 +10,10 @@
 /// How long a request without a slot waits before it is refused.
 struct AdmissionTimeouts
 {
-    /// Longest wait while all slots are busy, as a fraction of the target latency. After a longer
+    /// Longest wait while all servers are full, at their limit or backing off, as a fraction of the
+    /// target latency. After a longer
     /// wait the answer would be late even if a slot became free.
-    double latencyShareWhenFull = 0.5;
+    double shareOfTargetLatency = 0.5;
     /// Longest wait while the service's group of ranks is closed. After a power loss the group
     /// opens within this time of the first requests; refused callers would retry once, all
     /// together. A caller abandons a stream that has no event after two seconds.
@@ -41,7 +42,7 @@
     case NoBackendReason::AllFull:
     case NoBackendReason::AtLimit:
     case NoBackendReason::BackingOff:
-        return request.arrived + part(request.targetLatency, timeouts.latencyShareWhenFull);
+        return request.arrived + part(request.targetLatency, timeouts.shareOfTargetLatency);
     case NoBackendReason::NotOpen: {
         const milliseconds time = remaining(request.arrived, request.deadline);
         return request.arrived
--- a/Source/Request/BackendRegistry.cpp
+++ b/Source/Request/BackendRegistry.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// How long a backend server is avoided after it refused a connection; doubles with each further
-/// failure. A crashed server is back after some seconds, and each probe costs one retry.
+/// How long a backend server is avoided at first, after a refused connection or several other
+/// failures; doubles with each further failure. A crashed server is back after some seconds, and
+/// each send to it until then uses up one of a request's `maxRefusedConnections`.
 constexpr milliseconds firstAvoidance{300};
 constexpr milliseconds maxAvoidance{2400};
 /// Consecutive failures after which a server that still accepts connections is avoided too. A
@@ -17,8 +18,8 @@
 constexpr std::uint32_t failuresBeforeAvoidance = 3;
 /// Loads that differ by less than this fraction of the slots count as equal.
 constexpr double tieTolerance = 0.02;
-/// Cost of using another failure domain, as a fraction of the slots: about one request. Traffic
-/// between domains is expensive and adds latency.
+/// Cost of using another failure domain, as a fraction of the slots: about one request at a server
+/// with eleven slots. Traffic between domains is expensive and adds latency.
 constexpr double crossDomainPenalty = 0.09;
 
 /// A server without an entry counts as gone this long after it announced that it drains.
@@ -195,7 +196,8 @@
 /// Backend servers that may get a request.
 struct Candidates
 {
-    std::vector<Candidate> free;
+    /// They have no rate limit, or this gateway holds a permit for it.
+    std::vector<Candidate> eligible;
     /// They have a rate limit, and this gateway holds no permit for it.
     std::vector<Candidate> atLimit;
     Exclusions exclusions;
@@ -229,7 +231,7 @@
             continue;
         }
         const bool permitted = !anySignals || isPermitted(registry.limits, id, now);
-        auto &kind = permitted ? candidates.free : candidates.atLimit;
+        auto &kind = permitted ? candidates.eligible : candidates.atLimit;
         kind.push_back(
             {&state, loadWithOneMore(state, now, registry.loadLifetime), state.avoidUntil > now,
              state.entry.failureDomain != criteria.failureDomain,
@@ -255,17 +257,18 @@
 {
     discardStaleSignals(registry, entry);
     BackendState &state = registry.backends[entry.id];
-    const bool restarted =
+    const bool isNewServer =
         state.entry.startedAt != entry.startedAt || state.entry.address != entry.address;
-    if (restarted) {
+    if (isNewServer) {
         const std::uint32_t ownInFlight = state.ownInFlight;
         state = BackendState{};
         state.ownInFlight = ownInFlight;
         state.knownSince = now;
     }
-    // A record that is read again, for example after lost history, carries no new information.
+    // A record that is read again, for example after the store lost its history, carries no new
+    // information.
     const bool renewed = !entry.recordOffset || entry.recordOffset != state.entry.recordOffset;
-    const bool recheckAddress = restarted || (state.replaced && renewed);
+    const bool recheckAddress = isNewServer || (state.replaced && renewed);
     state.entry = entry;
     if (!recheckAddress)
         return;
@@ -285,7 +288,7 @@
     registry.backends.erase(found);
 }
 
-double expectedLoad(const BackendState &state, TimePoint now, milliseconds loadLifetime)
+double expectedRequests(const BackendState &state, TimePoint now, milliseconds loadLifetime)
 {
     if (!state.reportedLoad || now - state.reportedLoad->receivedAt > loadLifetime)
         return state.ownInFlight;
@@ -389,7 +392,7 @@
 
 double loadWithOneMore(const BackendState &state, TimePoint now, milliseconds loadLifetime)
 {
-    const double expected = expectedLoad(state, now, loadLifetime) + 1;
+    const double expected = expectedRequests(state, now, loadLifetime) + 1;
     return expected * slowdownOf(state, now, loadLifetime) / state.entry.slots;
 }
 
@@ -398,16 +401,16 @@
 {
     Candidates candidates = candidatesFor(registry, criteria, now);
     std::vector<Candidate> &atLimit = candidates.atLimit;
-    if (candidates.free.empty() && atLimit.empty())
+    if (candidates.eligible.empty() && atLimit.empty())
         return noBackendChoice(candidates.exclusions);
     BackendChoice choice;
-    dropSlow(candidates.free, now, registry.loadLifetime);
+    dropSlow(candidates.eligible, now, registry.loadLifetime);
     dropSlow(atLimit, now, registry.loadLifetime);
     const auto hasSlot = [&criteria](const Candidate &candidate) {
         return candidate.load <= criteria.maxLoad && !candidate.overFreeShare;
     };
     std::erase_if(atLimit, std::not_fn(hasSlot));
-    const Candidate *best = bestOf(candidates.free, randomUnit);
+    const Candidate *best = bestOf(candidates.eligible, randomUnit);
     const bool found = best != nullptr && hasSlot(*best);
     choice.preferredAtLimit =
         preferredAtLimitOf(registry.limits, atLimit, found ? best : nullptr, randomUnit, now);
--- a/Source/Request/BackendRegistry.h
+++ b/Source/Request/BackendRegistry.h
@@ -45,20 +45,24 @@
     TimePoint avoidUntil;
     /// Consecutive failures.
     std::uint32_t failures = 0;
-    /// Another backend server answers at its address. A newer record of its entry clears this.
+    /// Another backend server answers at its address. A newer record of its entry has this checked
+    /// again.
     bool replaced = false;
 };
 
 /// All known backend servers with their load and state. A value type without I/O.
+///
+/// A backend server may be an engine that is one rank of a group. The ranks of a group run forward
+/// passes together, so the group as a whole is open for work or closed.
 struct BackendRegistry
 {
-    /// Backend servers of all services, by id.
+    /// Backend servers of all services, by id, as last read from the list of servers in the store.
     std::map<std::string, BackendState> backends;
     /// A reported load older than this is ignored.
     milliseconds loadLifetime{1000};
     /// `backends` reflects the state of the store at this time or later.
     TimePoint listReadAt;
-    /// When each service's group was first reported open again, by service.
+    /// When a rank first reported the latest opening of a service's group, by service.
     std::map<std::string, TimePoint> openedAt;
     /// Limits that backend servers advertised. They outlast an entry that expires temporarily, for
     /// example in an outage of the store.
@@ -66,20 +70,23 @@
     /// End of the backoff that each backend server asked this gateway for, by id. Separate from the
     /// entries for the same reason.
     std::map<std::string, TimePoint> backoffUntil;
-    /// When each backend server first announced in an answer that it is draining, by id. No entry
-    /// revokes this; a server that reuses the address has another id.
+    /// When each backend server first announced in an answer that it is draining, by id. Only an
+    /// entry with another start time, that of a restarted server, clears this. A server that reuses
+    /// the address has another id.
     std::map<std::string, TimePoint> drainingSince;
     /// Start times of servers whose entry is gone but that have a limit, a backoff or a draining
     /// state above. They reveal a restart under the same id.
     std::map<std::string, std::uint64_t> expiredStartTimes;
 };
 
-/// Adds or updates a backend server from its entry. A restarted server begins with fresh state.
+/// Adds or updates a backend server from its entry. A restarted server begins with fresh state,
+/// except for its in-flight count.
 ///
 /// Of two entries with one address, the one that started last is valid; if a start time is unknown,
-/// the one with the later record, because a server that is gone writes no more records. After a
-/// power loss all engines of a group come back under new ids while the old entries remain for
-/// seconds, and each send to an old one uses up one of the two sends that a request has.
+/// the one with the later record, because a server that is gone normally writes no more records; if
+/// a late one arrives, the next record of the valid server corrects this. After a power loss all
+/// engines of a group come back under new ids while the old entries remain for seconds, and each
+/// send to an old one uses up one of the few sends that a route allows for a request.
 void putBackend(BackendRegistry &registry, const BackendEntry &entry, TimePoint now);
 
 /// Removes a backend server whose entry is gone or unusable.
@@ -88,19 +95,20 @@
 /// Returns the number of requests expected at a backend server now: the reported count, corrected
 /// by what this gateway has sent and finished since. Without a recent report, only this gateway's
 /// requests count.
-double expectedLoad(const BackendState &state, TimePoint now, milliseconds loadLifetime);
+double expectedRequests(const BackendState &state, TimePoint now, milliseconds loadLifetime);
 
 /// Returns the slowdown of a backend server; 1 for normal speed or without a recent report.
 double slowdownOf(const BackendState &state, TimePoint now, milliseconds loadLifetime);
 
-/// Slowdown from which streams are moved off a backend server. In a group every forward pass waits
-/// for the slowest rank: a few streams on a slow rank delay the events of all others, while moving
-/// a stream costs one prompt prefill.
+/// Slowdown from which streams are moved off a backend server, and from which it gets no new
+/// requests while another one is a candidate. In a group every forward pass waits for the slowest
+/// rank: a few streams on a slow rank delay the events of all others, while moving a stream costs
+/// one prompt prefill.
 constexpr double moveAtSlowdown = 2.0;
 
-/// How long a rank without a report counts as not open. A sidecar answers a gateway's first message
-/// at once. Without this wait a gateway that has just started sends to ranks of a group that is not
-/// formed yet and uses up the sends of a request.
+/// How long a rank without a report counts as not open after this gateway first saw it. A sidecar
+/// answers a gateway's first message at once. Without this wait a gateway that has just started
+/// sends to ranks of a group that is not formed yet and uses up the sends of a request.
 constexpr milliseconds firstReportWait{400};
 
 /// How long a group that opens again waits for a fresh read of the list before it gets work: its
@@ -186,25 +194,26 @@
     std::string service;
     /// Ids of servers that this request was sent to already.
     std::vector<std::string> tried;
-    /// Upper bound of the load including this request, as a fraction of the slots.
+    /// Upper bound of loadWithOneMore(): a fraction of the slots, multiplied by the slowdown.
     double maxLoad = 1.0;
     /// The request has to stay within this gateway's share of the free slots.
     bool withinFreeShare = false;
-    /// The service's backend servers are ranks of groups; their sidecars report whether they accept
-    /// work.
+    /// The service's backend servers are ranks of a group; their sidecars report whether they
+    /// accept work.
     bool inGroup = false;
     /// Failure domain of the gateway. Servers in it are preferred, which saves traffic between
     /// domains.
     std::string failureDomain;
 };
 
-/// Why no backend server was chosen.
+/// Why no backend server was chosen. Without a candidate, the first that applies of NotOpen,
+/// AllTried, BackingOff and NoneAvailable is the reason.
 enum class NoBackendReason {
     None, ///< A backend server was chosen.
-    NoneAvailable, ///< The service has no backend server that accepts work.
+    NoneAvailable, ///< The service has no backend server, or all are draining or replaced.
     AllTried, ///< No candidate is left; this request was sent to some already.
     AllFull, ///< Each would exceed the allowed load or this gateway's share of free slots.
-    NotOpen, ///< No candidate is left; some are ranks of a closed group.
+    NotOpen, ///< No candidate is left; some are not open, see isOpen().
     BackingOff, ///< No candidate is left; some asked this gateway for backoff.
     AtLimit, ///< Each with a free slot has a rate limit, and this gateway has no permit for it.
 };
@@ -215,7 +224,8 @@
     /// Null when none was chosen, because of `reason`.
     BackendState *backend = nullptr;
     NoBackendReason reason = NoBackendReason::None;
-    /// Load of the best candidate that needs no permit, including this request.
+    /// Load with this request at the best candidate that has no limit or a permit; see
+    /// loadWithOneMore().
     double load = 0;
     /// For BackingOff and AtLimit: earliest known time at which a request may be sent.
     TimePoint retryAt{};
@@ -223,10 +233,14 @@
     std::string preferredAtLimit{};
 };
 
-/// Chooses the backend server with the lowest expected load relative to its slots.
+/// Chooses a backend server for a request.
+///
+/// Slow servers are dropped unless all are slow. Of the others, servers within this gateway's share
+/// of free slots are preferred, then those that are not avoided, then the one with the lowest cost:
+/// loadWithOneMore() plus a penalty for another failure domain.
 ///
 /// The counts of one gateway suffice for evenly spread arrivals. Bursts from several gateways at
-/// once are balanced by the load reports, which are at most 0.1 s old.
+/// once are balanced by the load reports, which are normally at most 0.1 s old.
 /// @param randomUnit Uniform random number in [0, 1) that breaks ties.
 BackendChoice chooseBackend(BackendRegistry &registry, const BackendCriteria &criteria,
                             TimePoint now, double randomUnit);
--- a/Source/Request/CallerRequest.h
+++ b/Source/Request/CallerRequest.h
@@ -62,7 +62,7 @@
 {
     int status = 0;
     std::string attemptId;
-    /// It carries the backend server's seal, which proves that the body is its answer.
+    /// It has the seal header, by which the backend server confirms that the body is its answer.
     bool sealed = false;
     /// The backend server did not run the request and never will.
     bool notExecuted = false;
--- a/Source/Request/ConfigurationWait.h
+++ b/Source/Request/ConfigurationWait.h
@@ -12,7 +12,8 @@
 ///
 /// The wait covers a restart of all gateways at once, after a power loss or while the store is
 /// unavailable: refused callers retry once and would find the store still unavailable or the group
-/// still closed. A caller abandons a stream that has no event after two seconds.
+/// still closed. The bounds are those of AdmissionTimeouts for a closed group. A caller abandons a
+/// stream that has no event after two seconds.
 /// @param deadline When the caller stops waiting; nothing if the request does not say.
 inline TimePoint configurationTimeoutAt(TimePoint arrived, std::optional<TimePoint> deadline)
 {
--- a/Source/Request/EventSplitter.h
+++ b/Source/Request/EventSplitter.h
@@ -7,7 +7,8 @@
 
 namespace wisteria {
 
-/// Splits a text/event-stream into complete events and remembers the last event id.
+/// Passes on the complete events of a text/event-stream, holds back an incomplete one at its end,
+/// and remembers the last event id.
 ///
 /// A backend server's stream may end in the middle of an event. Only complete events are forwarded,
 /// so that a resumed stream continues after the last id without repeating a part of an event.
--- a/Source/Request/LimitOwners.h
+++ b/Source/Request/LimitOwners.h
@@ -10,11 +10,12 @@
 
 namespace wisteria {
 
-/// Another gateway's address and failure detection state.
+/// A gateway's address and the state of its failure detection.
 struct PeerGateway
 {
     Endpoint address;
-    /// Permit requests sent since its last message, and when the first and the last were sent.
+    /// Permit requests and probes sent since its last message, and when the first and the last were
+    /// sent.
     std::uint32_t unanswered = 0;
     TimePoint firstUnansweredAt{};
     TimePoint lastRequestAt{};
--- a/Source/Request/RequestGuards.h
+++ b/Source/Request/RequestGuards.h
@@ -2,8 +2,12 @@
 
 namespace wisteria {
 
-/// Checks of the request path, each of which prevents one violation of its guarantees. All are on
-/// in production; mutation tests disable one at a time to show that a test fails without it.
+/// Checks on the path from an entry, which takes requests of callers, to an agent, which runs them
+/// at its backend server. A key is an idempotency key; its owner is the backend server that may run
+/// it.
+///
+/// Each check prevents one violation of the guarantees. All are on in production; mutation tests
+/// disable one at a time to show that a test fails without it.
 struct RequestGuards
 {
     /// The entry drops frames whose request id or attempt is not the expected one.
--- a/Source/Request/RetryAfterPolicy.h
+++ b/Source/Request/RetryAfterPolicy.h
@@ -13,12 +13,12 @@
 {
     /// All slots are busy and the service makes progress: about the time until a slot becomes free.
     milliseconds busy{400};
-    /// The service makes no progress: a restart, or a group that re-forms or is held, takes
-    /// seconds.
+    /// In all other cases: a restart, or a group that re-forms or is held, takes seconds.
     milliseconds stalled{1200};
-    /// Upper bound of the random addition to `stalled`, or to the time left where it is known.
+    /// Upper bound of the random addition to `stalled`, or to the time until
+    /// `BackendChoice::retryAt`.
     milliseconds stalledJitter{1000};
-    /// A service counts as stalled when its slots are busy and no stream had an event for this
+    /// A service whose slots are busy counts as stalled without any answer or stream event for this
     /// long, which is several forward passes.
     milliseconds stalledAfter{500};
 };
--- a/Source/Request/RetryBudget.h
+++ b/Source/Request/RetryBudget.h
@@ -5,8 +5,9 @@
 /// Maximum retries in a service's budget, and its value at process start.
 constexpr double maxRetryBudget = 10.0;
 
-/// Retry budget: each success adds a fraction of a retry, each retry costs one. It prevents retry
-/// storms: in a failing fleet there are no successes, so retries soon stop.
+/// Retry budget of a service at one entry; a gateway uses RetryTokenBucket instead. Each success
+/// adds a fraction of a retry, each retry costs one. It prevents retry storms: if all backend
+/// servers fail there are no successes, so retries soon stop.
 struct RetryBudget
 {
     double retries = maxRetryBudget;
--- a/Source/Request/RetryTokenBucket.h
+++ b/Source/Request/RetryTokenBucket.h
@@ -21,8 +21,9 @@
 
 /// Number of gateways assumed before any report: that of a large fleet.
 constexpr double defaultGateways = 40;
-/// Lower bound of the assumed gateways, and assumed gateways per reported one: VMs may be added in
-/// the middle of a window. A static share holds in any network partition without messages.
+/// Lower bound of the assumed gateways, and assumed gateways per reported one. The number is
+/// overestimated because VMs may be added in the middle of a window. A share that needs no messages
+/// between gateways also holds in any network partition.
 constexpr double minGateways = 10;
 constexpr double gatewaysPerReported = 1.25;
 
@@ -45,8 +46,8 @@
 constexpr double maxStarts = 2;
 
 /// One gateway's token bucket for retries of a service. Each request adds `ratio` tokens, and each
-/// window adds this gateway's share of the base retries. The bucket size is bounded, so that no
-/// window sees more than twice the share.
+/// window adds baseRetryShare() tokens. The bucket size is bounded, so that base retries in any
+/// window are at most twice that share, if the share is at least one token.
 struct RetryTokenBucket
 {
     double tokens = 0;
@@ -54,7 +55,8 @@
     bool started = false;
 };
 
-/// Returns the part of the base retries that one gateway holds at its start and earns per window.
+/// Returns the part of the base retries that one gateway holds at its start and earns per window:
+/// half of an equal division, because it may start twice within a window.
 inline double baseRetryShare(const RetryQuota &quota)
 {
     return quota.baseRetries / assumedGateways(quota) / maxStarts;
--- a/Source/Request/RouteTable.cpp
+++ b/Source/Request/RouteTable.cpp
@@ -45,7 +45,7 @@
     }
     const bool needsKey = configuration.needsKeys && !access.route->isPublic;
     if (needsKey && access.organisation == nullptr)
-        access.fault = AccessFault::UnknownKey;
+        access.fault = AccessFault::NoValidKey;
     return access;
 }
 
--- a/Source/Request/RouteTable.h
+++ b/Source/Request/RouteTable.h
@@ -28,7 +28,7 @@
 };
 
 /// Why a request is denied.
-enum class AccessFault { None, NoRoute, UnknownKey };
+enum class AccessFault { None, NoRoute, NoValidKey };
 
 /// Route and organisation of a request, or why it is denied.
 struct Access
@@ -38,7 +38,7 @@
     /// Organisation of the API key; null when the request has no known key.
     const Organisation *organisation = nullptr;
 
-    /// Returns the priority of the request; 0 is the most urgent.
+    /// Returns the priority of the request; 0 is the most urgent. Requires a route.
     std::uint32_t priority() const
     {
         if (organisation != nullptr && organisation->priority)
--- a/Source/Request/ServerLimit.h
+++ b/Source/Request/ServerLimit.h
@@ -25,8 +25,8 @@
 /// One gateway's state for the rate limit of a backend server. A value type without I/O.
 ///
 /// The limit covers all gateways together, so one process, the limit owner, grants permits for it.
-/// With fixed shares a server idles while the callers of one gateway need it, and one request for
-/// each of many gateways exceeds a small limit.
+/// If each gateway had a fixed share, a server would idle while the callers of one gateway need it,
+/// and one request from each of many gateways would exceed a small limit.
 struct ServerLimit
 {
     AdvertisedLimit advertised;
@@ -63,8 +63,9 @@
 /// Uses up one permit for a request that is sent; does nothing when none is held.
 void consumePermit(ServerLimits &limits, const std::string &id, TimePoint now);
 
-/// Has a permit requested for a short time, because a request waits for one or further requests are
-/// likely. Not to be called for a refused request: its permit would be lost to all gateways.
+/// Makes nextPermitRequest() ask for a permit for the next 75 ms, because a request waits for one
+/// or further requests are likely. Not to be called for a refused request: its permit would expire
+/// unused and be lost to all gateways.
 void markPermitWanted(ServerLimits &limits, const std::string &id, TimePoint now);
 
 /// Returns the number of backend servers that have a limit now.
@@ -101,8 +102,8 @@
 /// @return Whether this allows a request: a permit was granted or the limit ended.
 bool applyPermitReply(ServerLimits &limits, const PermitReply &reply, TimePoint now);
 
-/// Returns whether an advertised limit is so old that its server counts as gone, unless the server
-/// still has an entry.
+/// Returns whether an advertised limit is older than five minutes, so that its server counts as
+/// gone. A gateway keeps the limit nonetheless while the server has an entry.
 bool isExpired(const AdvertisedLimit &advertised, TimePoint now);
 
 /// Token bucket of a limit at its owner. A value type without I/O.
--- a/Tests/Gateway/AdmissionQueueTest.cpp
+++ b/Tests/Gateway/AdmissionQueueTest.cpp
@@ -52,9 +52,9 @@
 
 } // namespace
 
-// Guards against callers that wait in vain in a surge to four times the load. If every request
-// queues for half of its target latency, a gateway with 18 requests and 5 free slots a second lets
-// 13 wait 0.2 s before it refuses them.
+// Guards against requests that wait half of their target latency in vain in a surge to four times
+// the load. If every request queues, a gateway with, for example, 18 requests and 5 free slots a
+// second refuses 13 of them after 0.2 s.
 TEST_CASE("In a surge only requests that are likely to get a slot wait, and no slot stays free")
 {
     const SurgeResult result = simulateSurge(milliseconds(8), milliseconds(33), seconds(4));
--- a/Tests/Gateway/DecisionsTest.cpp
+++ b/Tests/Gateway/DecisionsTest.cpp
@@ -60,7 +60,7 @@
                            seconds(1)));
 }
 
-TEST_CASE("No request goes to more backend servers than its route allows, or without time")
+TEST_CASE("No retry exceeds the route's sends, three refused connections or the time left")
 {
     const SendHistory sent{.delivered = 2, .mayHaveRun = true};
     const RouteRule route = routeOf(RequestKind::Idempotent, false, 2);
@@ -88,7 +88,7 @@
 
 // Guards against a retry storm: a failing service gets three times its load when every gateway
 // retries without a common quota. Ten gateways that have just started must stay within it together.
-TEST_CASE("The retries of ten gateways stay within the quota in any window")
+TEST_CASE("Ten gateways together use most of the retry quota of a window and do not exceed it")
 {
     const RetryQuota quota{.ratio = 0.2, .baseRetries = 90, .window = seconds(10)};
     double retries = 0;
@@ -109,7 +109,7 @@
 
 // Guards against the retries of all gateways exceeding the quota when the base retries are divided
 // by a fixed number of ten gateways.
-TEST_CASE("The retries of any number of gateways stay within the quota in any window")
+TEST_CASE("The retries of any number of gateways stay within the quota of a window")
 {
     const int gateways = GENERATE(5, 13, 36);
     RetryQuota quota{.ratio = 0.2, .baseRetries = 194, .window = seconds(10)};
@@ -173,12 +173,12 @@
     state.ownInFlight = 3;
     state.reportedLoad =
         BackendLoad{.running = 6, .waiting = 1, .ownInFlight = 2, .receivedAt = start};
-    REQUIRE(expectedLoad(state, start, seconds(1)) == 8);
-    REQUIRE(expectedLoad(state, start + seconds(2), seconds(1)) == 3);
+    REQUIRE(expectedRequests(state, start, seconds(1)) == 8);
+    REQUIRE(expectedRequests(state, start + seconds(2), seconds(1)) == 3);
 }
 
 // Guards against all streams of a group stalling once a second. One rank runs at a twelfth of its
-// speed, the others wait for it in each pass, and it got requests whenever the others were full.
+// speed, the others wait for it in each pass, and it gets requests whenever the others are full.
 TEST_CASE("A slow rank gets no request while another rank exists, even a full one")
 {
     BackendRegistry registry;
@@ -219,7 +219,7 @@
     REQUIRE(chooseBackend(registry, criteria, start, 0).reason == NoBackendReason::None);
 }
 
-TEST_CASE("A backend server whose address was taken over gets no request until it reports again")
+TEST_CASE("A replaced backend server gets no request until its entry is put again")
 {
     BackendRegistry registry;
     putBackend(registry, entryOf("i-1"), start);
@@ -262,7 +262,7 @@
 }
 
 // Guards against a moment without any slot of a service after a store outage. A server whose entry
-// was back in the list 1.9 s after the outage was seen only by the next read, and was removed
+// is back in the list 1.9 s after the outage is seen only by the next read, and must not be removed
 // before it.
 TEST_CASE("A server whose entry returns between two reads is not removed after a store outage")
 {
@@ -282,7 +282,7 @@
     REQUIRE(registry.backends.contains("i-1"));
 }
 
-TEST_CASE("A draining or unreadable entry removes only its own server at once")
+TEST_CASE("An unreadable entry removes its server, and a draining entry makes its server unusable")
 {
     BackendRegistry registry;
     EventLog log("test", {.least = LogLevel::Error});
@@ -295,7 +295,8 @@
     REQUIRE(chooseBackend(registry, criteria, start, 0).reason == NoBackendReason::NoneAvailable);
 }
 
-TEST_CASE("The longest prefix of the host wins, and a route's weights divide its requests")
+TEST_CASE(
+    "The longest path prefix wins, private routes need a key, and weights divide the requests")
 {
     auto configuration = std::make_shared<ServiceConfiguration>();
     RouteRule wide = routeOf(RequestKind::Idempotent, false, 1);
@@ -311,14 +312,14 @@
     REQUIRE(table.find("h", "/a/b/c")->pathPrefix == "/a/b/");
     REQUIRE(table.find("h", "/a/c")->pathPrefix == "/a/");
     REQUIRE(table.find("g", "/a/c") == nullptr);
-    REQUIRE(accessOf(table, "h", "/a/c", nullptr).fault == AccessFault::UnknownKey);
+    REQUIRE(accessOf(table, "h", "/a/c", nullptr).fault == AccessFault::NoValidKey);
     REQUIRE(accessOf(table, "h", "/a/b/c", nullptr).fault == AccessFault::None);
     REQUIRE(*serviceOf(wide, 0.89) == "x");
     REQUIRE(*serviceOf(wide, 0.91) == "y");
 }
 
-// Guards against losing half of the callers while a group is stalled for four seconds. With a
-// Retry-After of 0.4 s they found all slots still busy, and they retry only once.
+// Guards against refusing half of the callers twice while a group is stalled for four seconds.
+// After a Retry-After of 0.4 s they find all slots still busy, and they retry only once.
 TEST_CASE("Callers of a stalled service get a longer Retry-After with jitter")
 {
     const RetryAfterPolicy policy;
@@ -330,7 +331,7 @@
 
 // Guards against requests refused twice and lost after a power loss of all VMs. The gateways are
 // back 0.7 s before the group is formed; with a Retry-After of 1.2 to 2.2 s for all callers, many
-// retried while the group was still closed or full.
+// retry while the group is still closed or full.
 TEST_CASE("A request waits for a group that is forming, within its caller's time limit")
 {
     const AdmissionTimeouts timeouts;
@@ -386,7 +387,7 @@
     // Its entry is read again, for example after lost history.
     putBackend(registry, former, start);
     REQUIRE(registry.backends.at("i-1").replaced);
-    // A server without a start time cannot be compared and stays usable.
+    // A server with neither a start time nor a record offset cannot be compared and stays usable.
     BackendEntry undated = entryOf("i-3");
     undated.address = former.address;
     putBackend(registry, undated, start);
@@ -434,8 +435,8 @@
 }
 
 // Guards against hundreds of refused requests after a power loss. Each rank of a group that is
-// still forming refuses; the load in the refusal made the rank look open, so that it got the next
-// request.
+// still forming refuses; if the load in the refusal makes the rank look open, it gets the next
+// request too.
 TEST_CASE("A rank that refuses work although it has free slots counts as closed")
 {
     BackendRegistry registry;
@@ -475,10 +476,10 @@
     REQUIRE(shareOfFreeSlots(7, 0, 0.5) == 7);
 }
 
-// Guards against store calls as the second largest cost of a fleet of 36 gateways: each read the
-// list of servers every 0.9 s and the configuration every 1.5 s, although that platform allows
-// twice the interval. The platform's bounds must also hold when one answer is lost.
-TEST_CASE("The store is polled as rarely as the platform's bounds allow")
+// Guards against needless store calls, the second largest cost of a fleet of 36 gateways that read
+// the list of servers every 0.9 s and the configuration every 1.5 s where twice the interval is
+// allowed. The platform's bounds must also hold when one answer is lost.
+TEST_CASE("The store is polled within the platform's bounds, and not many times as often")
 {
     for (const milliseconds bound : {milliseconds(2000), milliseconds(4000), milliseconds(8000)}) {
         const milliseconds lostAnswer = storeAnswerTimeout + storeInitialBackoff;
@@ -486,8 +487,8 @@
         REQUIRE(backendsPollInterval(bound) * 3 > bound);
         REQUIRE(configurationWait(bound) * 2 > bound);
     }
-    // At 2000 ms such a read may outlast the bound, but not by a second: a VM whose connections
-    // were cut counts as healthy again only a second after the bound.
+    // At 2000 ms a read of the configuration may outlast the bound, but not by a second: a VM whose
+    // connections were cut counts as healthy again only a second after the bound.
     REQUIRE(configurationWait(milliseconds(2000)) + storeAnswerTimeout + storeInitialBackoff
             < milliseconds(3000));
     REQUIRE(configurationWait(milliseconds(4000)) + storeAnswerTimeout + storeInitialBackoff
--- a/Tests/Gateway/LimitPermitsTest.cpp
+++ b/Tests/Gateway/LimitPermitsTest.cpp
@@ -186,6 +186,7 @@
     std::mt19937_64 random_{17};
 };
 
+/// Returns the requests allowed within `span`: 1.5 times the limit plus five.
 std::size_t allowedWithinSpan(double perSecond)
 {
     return static_cast<std::size_t>(1.5 * perSecond * secondsOf(span)) + 5;
@@ -259,7 +260,7 @@
 }
 
 // Guards against resumed or retried requests that bypass the limit, which first sends respect.
-TEST_CASE("No request goes to a server at its limit, and the best one there is named for a permit")
+TEST_CASE("No request goes to a server at its limit, and preferredAtLimit names the best of those")
 {
     BackendRegistry registry;
     for (const std::string id : {"i-1", "i-2"})
@@ -336,6 +337,7 @@
 TEST_CASE("Gateways that don't know each other stay within a limit in a surge after an idle time")
 {
     constexpr std::size_t gateways = 36;
+    // Half of the limit, divided by 1.25 times the gateways, as in LimitPermits.
     constexpr double share = 0.5 / 45;
     const double perSecond = GENERATE(1.0, 4.0);
     const unsigned seed = GENERATE(range(1U, 40U));
--- a/Tests/Gateway/RestartedEnginesTest.cpp
+++ b/Tests/Gateway/RestartedEnginesTest.cpp
@@ -99,7 +99,7 @@
 
 } // namespace
 
-// Guards against requests refused after a power loss because both of their sends go to engines that
+// Guards against requests refused after a power loss because all their sends go to engines that
 // are gone.
 TEST_CASE("After a restart of all engines no request is sent to an engine that is gone")
 {
@@ -145,7 +145,7 @@
 }
 
 // Guards against a healthy engine that is never used again after a late record of one that is gone.
-TEST_CASE("Of two entries with one address the one that was written last is valid")
+TEST_CASE("Of two entries with one address and no start time the one written last is valid")
 {
     GroupRestart restart(1);
     restart.registerNewEngines();
--- a/Tests/Gateway/ServerLimitTest.cpp
+++ b/Tests/Gateway/ServerLimitTest.cpp
@@ -18,7 +18,8 @@
 constexpr milliseconds settleTime{3000};
 constexpr milliseconds span{4000};
 
-/// Returns the number of requests that all gateways together may send within `span`.
+/// Returns the number of requests that all gateways together may send within `span`: 1.5 times the
+/// limit plus five.
 std::size_t allowedWithin(double perSecond)
 {
     return static_cast<std::size_t>(1.5 * perSecond * secondsOf(span)) + 5;
