--- a/Source/Programs/Gateway/Exchange.cpp
+++ b/Source/Programs/Gateway/Exchange.cpp
@@ -11,27 +11,28 @@
 
 namespace {
 
-/// How long a connection may take to be set up: ten times the way to the farthest failure domain
-/// and back, with the time that a busy VM takes to accept.
+/// Timeout of a connection setup: ten round trips to the farthest failure domain, plus the time
+/// that a busy VM takes to accept.
 constexpr milliseconds connectTimeout{400};
-/// Bytes that a caller has not taken at which its backend server is no longer read.
+/// Bytes queued for a caller above which reading from its backend server pauses.
 constexpr std::size_t callerQueueBytes = 262144;
-/// Load in parts of the slots up to which a backend server gets a first send, and a further one of
-/// a request that has begun: that one has cost work already, and its caller waits for the rest.
+/// Maximum load of a backend server, as a fraction of its slots: for a first send or a move off a
+/// slow server, and for a retry after a failure. The latter may use more, because its request has
+/// cost work already and its caller waits for the rest.
 constexpr double maxLoadForFirstSend = 1.0;
-constexpr double maxLoadForRetry = 2.0;
-/// Pause after which a request that waits for a permit asks for one again, maybe at another backend
-/// server.
-constexpr milliseconds limitPause{50};
+constexpr double maxLoadAfterFailure = 2.0;
+/// Interval after which a request that waits for a permit requests one again, possibly for another
+/// backend server.
+constexpr milliseconds permitRetryInterval{50};
 
-/// When a request that waits is to look for a place although none has become free.
-TimePoint tryAgainAt(const BackendChoice &choice, TimePoint now)
+/// When a waiting request looks for a slot again even if none has become free.
+TimePoint nextDispatchTime(const BackendChoice &choice, TimePoint now)
 {
     switch (choice.reason) {
     case NoBackendReason::BackingOff:
-        return choice.freeAt;
+        return choice.retryAt;
     case NoBackendReason::AtLimit:
-        return now + limitPause;
+        return now + permitRetryInterval;
     default:
         return TimePoint::max();
     }
@@ -74,7 +75,7 @@
     }
     if (!finished_)
         countEnd(0, "the caller left", monotonicNow());
-    stopWaiting();
+    endWait();
     releaseBackend();
 }
 
@@ -82,55 +83,55 @@
 {
     const BackendChoice choice = chooseNext(maxLoadForFirstSend, now);
     if (choice.backend != nullptr) {
-        stopWaiting();
+        endWait();
         noteDispatched(context_.admissionQueues[service_], now);
         markPermitWanted(context_.registry.limits, choice.preferredAtLimit, now);
         send(*choice.backend, now);
         return true;
     }
-    tryAgainAt_ = tryAgainAt(choice, now);
-    // A longer wait that was granted stays: the group that it waited for may open with all places
-    // taken at once.
+    nextDispatchAt_ = nextDispatchTime(choice, now);
+    // The timeout never becomes earlier: a request that waited for a closed group keeps its longer
+    // timeout if all slots are taken as soon as the group opens.
     waitUntil_ = std::max(
         waitUntil_,
         queueTimeoutAt(
             context_.admissionTimeouts, choice.reason,
             {.arrived = arrived_, .deadline = deadline_, .targetLatency = route_.targetLatency}));
-    const bool mayWait = queued_ || waitIsWorthIt(choice, now);
+    const bool mayWait = countedInQueue_ || shouldWait(choice, now);
     if (now < waitUntil_ && mayWait) {
         markPermitWanted(context_.registry.limits, choice.preferredAtLimit, now);
-        startWaiting();
+        joinAdmissionQueue();
         return false;
     }
-    stopWaiting();
+    endWait();
     refuse(refusalReason(choice.reason, mayWait), choice, now);
     return true;
 }
 
-bool Exchange::waitIsWorthIt(const BackendChoice &choice, TimePoint now) const
+bool Exchange::shouldWait(const BackendChoice &choice, TimePoint now) const
 {
-    if (choice.freeAt > waitUntil_)
+    if (choice.retryAt > waitUntil_)
         return false;
     return (choice.reason != NoBackendReason::AllFull && choice.reason != NoBackendReason::AtLimit)
         || waitCanSucceed(context_.admissionQueues[service_], priority_, remaining(now, waitUntil_),
                           now);
 }
 
-void Exchange::startWaiting()
+void Exchange::joinAdmissionQueue()
 {
-    if (queued_)
+    if (countedInQueue_)
         return;
     joinQueue(context_.admissionQueues[service_], priority_);
-    queued_ = true;
+    countedInQueue_ = true;
 }
 
-void Exchange::stopWaiting()
+void Exchange::endWait()
 {
     waiting_ = false;
-    if (!queued_)
+    if (!countedInQueue_)
         return;
     leaveQueue(context_.admissionQueues[service_], priority_);
-    queued_ = false;
+    countedInQueue_ = false;
 }
 
 void Exchange::send(BackendState &backend, TimePoint now)
@@ -147,10 +148,10 @@
     ++backend.ownInFlight;
     consumePermit(context_.registry.limits, backendId_, now);
     sentAt_ = now;
-    lastByteAt_ = now;
+    pauseBegunAt_ = now;
     head_ = {};
     body_.clear();
-    splitter_.beginRun();
+    splitter_.discardPartialEvent();
     const ConnectionUse use = route_.repeatable() ? ConnectionUse::Reuse : ConnectionUse::Fresh;
     if (context_.log.writes(LogLevel::Debug)) {
         context_.log.debug("request.send",
@@ -177,20 +178,20 @@
 void Exchange::onHead(const HttpResponseHead &head)
 {
     head_ = platform::decodeAnswerHead(head);
-    lastByteAt_ = monotonicNow();
-    noteServerSignals(context_, {backendId_, request_.attemptId, head_}, lastByteAt_);
-    BackendState *backend = backendNow();
+    pauseBegunAt_ = monotonicNow();
+    noteServerSignals(context_, {backendId_, request_.attemptId, head_}, pauseBegunAt_);
+    BackendState *backend = currentBackend();
     if (backend == nullptr)
         return;
     if (head_.misdirected) {
         noteReplaced(*backend);
-        context_.listChanged();
+        context_.rereadBackends();
         return;
     }
     const AnswerFeedback feedback{.load = head_.load,
                                   .notExecuted = head_.notExecuted,
                                   .asksForBackoff = head_.retryAfter > milliseconds(0)};
-    noteAnswer(*backend, feedback, inGroup_, lastByteAt_, context_.randomUnit());
+    noteAnswer(*backend, feedback, inGroup_, pauseBegunAt_, context_.randomUnit());
 }
 
 bool Exchange::forwardsStream() const
@@ -219,16 +220,16 @@
         firstEventAt_ = now;
         sink_.beginStream(head_.status, head_.forwardedFields);
     } else {
-        longestPause_ = std::max(longestPause_, remaining(lastByteAt_, now));
+        longestPause_ = std::max(longestPause_, remaining(pauseBegunAt_, now));
     }
-    lastByteAt_ = now;
-    context_.progressAt[service_] = now;
+    pauseBegunAt_ = now;
+    context_.lastProgressAt[service_] = now;
     sink_.sendStream(events);
-    if (sink_.queued() > callerQueueBytes)
+    if (sink_.queuedBytes() > callerQueueBytes)
         call_->pauseReading(true);
 }
 
-void Exchange::callerDrained()
+void Exchange::resumeReading()
 {
     if (call_)
         call_->pauseReading(false);
@@ -245,8 +246,9 @@
         completeStream();
         return;
     }
-    // A success without the seal, or in an encoding that nobody asked for, is not its answer; and
-    // once a part of a stream is out, nothing but its rest may follow.
+    // Not the backend server's own answer: a success without the seal, which is the header field
+    // that marks such an answer, and an answer in an encoding that was not requested. A success on
+    // a streaming route must be an event stream. After a part of a stream only its rest may follow.
     const bool unusable = history_.answerBegun || head_.encoded
         || (head_.success() && (!head_.sealed || route_.kind == RequestKind::Streaming));
     if (unusable) {
@@ -258,15 +260,16 @@
         endSend(SendOutcome::ServerError, "the backend server failed");
         return;
     }
-    noteGoodAnswer();
+    noteAnswerWithoutServerError();
     forwardAnswer();
 }
 
-/// An error is an answer as well, but one that comes at once from a server that fails everything:
-/// it would have the least load and draw the service's requests.
-void Exchange::noteGoodAnswer()
+/// Only an answer other than a server error ends the avoidance of a backend server. A server that
+/// fails every request answers at once, so without avoidance it would have the least load and
+/// attract the service's requests.
+void Exchange::noteAnswerWithoutServerError()
 {
-    if (BackendState *backend = backendNow())
+    if (BackendState *backend = currentBackend())
         noteSuccess(*backend);
 }
 
@@ -282,7 +285,7 @@
         return;
     }
     const int status = head_.status;
-    noteGoodAnswer();
+    noteAnswerWithoutServerError();
     countSendEnd(context_.metrics, service_, "answered");
     releaseBackend();
     finish(status, "answered", now);
@@ -296,7 +299,7 @@
     const std::string body = std::move(body_);
     countSendEnd(context_.metrics, service_, "answered");
     releaseBackend();
-    context_.progressAt[service_] = now;
+    context_.lastProgressAt[service_] = now;
     finish(head.status, "answered", now);
     sink_.answer(head.status, head.forwardedFields, body);
 }
@@ -320,7 +323,7 @@
     if (outcome == SendOutcome::Incomplete || outcome == SendOutcome::TimedOut
         || outcome == SendOutcome::ServerError)
         history_.mayHaveRun = true;
-    if (BackendState *backend = backendNow())
+    if (BackendState *backend = currentBackend())
         noteFailure(*backend, outcome == SendOutcome::NeverSent, now);
     const milliseconds left = timeLeft(now);
     context_.log.warn("request.send_failed",
@@ -333,15 +336,16 @@
                        {"left_s", secondsOf(left)}});
     countSendEnd(context_.metrics, service_, nameOf(outcome));
     releaseBackend();
-    const bool again = mayRetry(route_, outcome, history_, left)
+    const bool retry = mayRetry(route_, outcome, history_, left)
         && (outcome == SendOutcome::NeverSent
             || takeRetryToken(context_.retryBuckets[service_], context_.retryQuota, now));
-    BackendChoice none{.reason = outcome == SendOutcome::NotExecuted ? NoBackendReason::AllFull
-                                                                     : NoBackendReason::Unknown};
-    if (again) {
-        const BackendChoice choice = chooseNext(maxLoadForRetry, now);
-        if (choice.freeAt != TimePoint())
-            none = choice;
+    BackendChoice refusalCause{.reason = outcome == SendOutcome::NotExecuted
+                                   ? NoBackendReason::AllFull
+                                   : NoBackendReason::NoneAvailable};
+    if (retry) {
+        const BackendChoice choice = chooseNext(maxLoadAfterFailure, now);
+        if (choice.retryAt != TimePoint())
+            refusalCause = choice;
         if (choice.backend != nullptr) {
             countRetry(context_.metrics, service_,
                        history_.answerBegun ? RetryCause::Resumed : RetryCause::Failed);
@@ -354,7 +358,7 @@
         forwardAnswer();
         return;
     case RetryDecision::Refuse:
-        refuse("not run by any backend server", none, now);
+        refuse("not run by any backend server", refusalCause, now);
         return;
     case RetryDecision::Abort:
         finish(0, "broken off", now);
@@ -377,7 +381,7 @@
     if (finished_)
         return;
     if (waiting_) {
-        if (now >= std::min({waitUntil_, deadline_, tryAgainAt_}))
+        if (now >= std::min({waitUntil_, deadline_, nextDispatchAt_}))
             tryDispatch(now);
         return;
     }
@@ -396,14 +400,14 @@
 
 void Exchange::moveOffSlowBackend(TimePoint now)
 {
-    const BackendState *slow = backendNow();
+    const BackendState *slow = currentBackend();
     if (route_.kind != RequestKind::Streaming || slow == nullptr
         || slowdownOf(*slow, now, context_.registry.loadLifetime) < moveAtSlowdown)
         return;
-    SendHistory after = history_;
-    ++after.delivered;
-    after.mayHaveRun = true;
-    if (!mayRetry(route_, SendOutcome::Incomplete, after, timeLeft(now)))
+    SendHistory historyAfterMove = history_;
+    ++historyAfterMove.delivered;
+    historyAfterMove.mayHaveRun = true;
+    if (!mayRetry(route_, SendOutcome::Incomplete, historyAfterMove, timeLeft(now)))
         return;
     const BackendChoice choice = chooseNext(maxLoadForFirstSend, now);
     const bool better = choice.backend != nullptr
@@ -415,7 +419,7 @@
                        {"from", backendId_},
                        {"pace", slow->reportedLoad->slowdown},
                        {"to", choice.backend->entry.id}});
-    history_ = after;
+    history_ = historyAfterMove;
     countSendEnd(context_.metrics, service_, "moved");
     countRetry(context_.metrics, service_, RetryCause::Moved);
     releaseBackend();
@@ -433,7 +437,7 @@
     return chooseBackend(context_.registry, criteria, now, context_.randomUnit());
 }
 
-BackendState *Exchange::backendNow()
+BackendState *Exchange::currentBackend()
 {
     const auto found = context_.registry.backends.find(backendId_);
     return found == context_.registry.backends.end() ? nullptr : &found->second;
@@ -444,14 +448,14 @@
     if (backendId_.empty())
         return;
     call_.reset();
-    if (BackendState *backend = backendNow(); backend != nullptr && backend->ownInFlight > 0)
+    if (BackendState *backend = currentBackend(); backend != nullptr && backend->ownInFlight > 0)
         --backend->ownInFlight;
     backendId_.clear();
 }
 
 void Exchange::refuse(const char *reason, const BackendChoice &choice, TimePoint now)
 {
-    const milliseconds sinceProgress = remaining(context_.progressAt[service_], now);
+    const milliseconds sinceProgress = remaining(context_.lastProgressAt[service_], now);
     const milliseconds retryAfter =
         retryAfterFor(context_.retryAfterPolicy, choice, sinceProgress, now, context_.randomUnit());
     finish(503, reason, now);
@@ -461,7 +465,7 @@
 void Exchange::finish(int status, const char *reason, TimePoint now)
 {
     finished_ = true;
-    stopWaiting();
+    endWait();
     LogFields fields = {
         {"id", request_.attemptId}, {"status", status},
         {"reason", reason},         {"route", route_.name},
@@ -472,15 +476,17 @@
         fields["longest_pause_s"] = secondsOf(longestPause_);
     }
     constexpr int firstClientError = 400;
-    const bool success = status != 0 && status < firstClientError;
-    context_.log.write(success ? LogLevel::Info : LogLevel::Warning, "request.end", fields);
+    const bool logAsInfo = status != 0 && status < firstClientError;
+    context_.log.write(logAsInfo ? LogLevel::Info : LogLevel::Warning, "request.end", fields);
     countEnd(status, reason, now);
 }
 
 void Exchange::countEnd(int status, const char *reason, TimePoint now)
 {
-    RequestEnded ended{
-        .service = service_, .status = status, .reason = reason, .took = remaining(arrived_, now)};
+    RequestEnd ended{.service = service_,
+                     .status = status,
+                     .reason = reason,
+                     .duration = remaining(arrived_, now)};
     if (history_.answerBegun) {
         ended.firstEvent = remaining(arrived_, firstEventAt_);
         ended.longestPause = longestPause_;
--- a/Source/Programs/Gateway/Gateway.cpp
+++ b/Source/Programs/Gateway/Gateway.cpp
@@ -25,25 +25,26 @@
 
 namespace {
 
-/// Period of the checks of deadlines. A deadline is met this much late at most; the bound on an
-/// answer after a route's timeout is half a second.
+/// Interval between timeout checks, and so the longest delay of a timeout. The answer to a request
+/// must be sent within half a second of its route's timeout.
 constexpr milliseconds checkPeriod{25};
-/// Descriptors kept for the store, the log and files; callers and backend servers share the rest.
-constexpr std::size_t descriptorsKept = 400;
-/// How long a stopping gateway still takes new connections: the platform asks for readiness once a
-/// second and sends callers elsewhere after two misses.
+/// File descriptors reserved for the store, the log and files. Callers and backend servers share
+/// the rest.
+constexpr std::size_t reservedDescriptors = 400;
+/// How long a stopping gateway still accepts connections. The platform checks readiness once a
+/// second and sends callers elsewhere after two failed checks.
 constexpr milliseconds stopAcceptingAfter{2600};
-/// Time before the kill at which a stopping gateway ends whatever is left.
+/// A stopping gateway ends the remaining requests this long before the platform kills it.
 constexpr milliseconds stopMargin{300};
 
 RetryQuota retryQuotaOf(const platform::ProcessSettings &settings)
 {
     return {.ratio = settings.retryRatio,
-            .baseRetries = settings.retrySlack,
+            .baseRetries = settings.baseRetries,
             .window = settings.retryWindow};
 }
 
-/// The places of each service as this gateway expects them to be taken.
+/// Slots of each service, with the number that this gateway expects to be taken.
 std::vector<ServiceSlots> slotsOf(const BackendRegistry &registry, TimePoint now)
 {
     std::map<std::string, ServiceSlots> slots;
@@ -51,7 +52,7 @@
         ServiceSlots &service = slots[state.entry.service];
         service.service = state.entry.service;
         ++service.backends;
-        service.taken += expectedLoad(state, now, registry.loadLifetime);
+        service.taken += expectedRequests(state, now, registry.loadLifetime);
         service.total += state.entry.slots;
     }
     std::vector<ServiceSlots> list;
@@ -78,42 +79,43 @@
                                  .retryBuckets = {},
                                  .failureDomain = settings_.failureDomain,
                                  .routes = nullptr,
-                                 .listChanged =
+                                 .rereadBackends =
                                      [this] { backendsWatch_->readSoon(monotonicNow()); }},
-          list_(registry_, log_, backendsPollInterval(settings_.drainTime)),
-          callers_(loop_, [this](int descriptor) { acceptCaller(descriptor); }),
-          readiness_(
+          backendList_(registry_, log_, backendsPollInterval(settings_.drainTime)),
+          callerListener_(loop_, [this](int descriptor) { acceptCaller(descriptor); }),
+          readinessListener_(
               loop_,
               [this](const HttpRequest &) { return StatusAnswer{.status = ready() ? 200 : 503}; }),
-          scrapes_(loop_,
-                   [this](const HttpRequest &request) {
-                       return answerScraper(request, [this] { return metricsText(); });
-                   }),
-          peers_(loop_,
-                 [this](const Endpoint &from, std::string_view bytes) {
-                     receiveMessage(from, bytes);
-                 }),
-          hellos_(context_, peers_, settings_.firstInternalPort)
+          metricsListener_(loop_,
+                           [this](const HttpRequest &request) {
+                               return answerScraper(request, [this] { return metricsText(); });
+                           }),
+          messageSocket_(loop_,
+                         [this](const Endpoint &from, std::string_view bytes) {
+                             receiveMessage(from, bytes);
+                         }),
+          hellos_(context_, messageSocket_, settings_.firstInternalPort)
     { }
 
     Result<void> run()
     {
         BOOST_OUTCOME_TRYV(Gateway::check(settings_));
-        BOOST_OUTCOME_TRYV(callers_.listen(*settings_.callers));
-        BOOST_OUTCOME_TRYV(readiness_.listen(*settings_.readiness));
-        if (settings_.metrics) {
-            BOOST_OUTCOME_TRYV(scrapes_.listen(*settings_.metrics));
+        BOOST_OUTCOME_TRYV(callerListener_.listen(*settings_.callerEndpoint));
+        BOOST_OUTCOME_TRYV(readinessListener_.listen(*settings_.readinessEndpoint));
+        if (settings_.metricsEndpoint) {
+            BOOST_OUTCOME_TRYV(metricsListener_.listen(*settings_.metricsEndpoint));
         }
-        BOOST_OUTCOME_TRYV(peers_.open({settings_.vm.ip, settings_.firstInternalPort}));
+        BOOST_OUTCOME_TRYV(
+            messageSocket_.open({settings_.vmAddress.ip, settings_.firstInternalPort}));
         log_.info("process.start",
-                  {{"callers", toText(*settings_.callers)},
+                  {{"callers", toText(*settings_.callerEndpoint)},
                    {"domain", settings_.failureDomain},
-                   {"store", toText(settings_.store)}});
+                   {"store", toText(settings_.storeEndpoint)}});
         watchStore();
         directory_ = std::make_unique<GatewayDirectory>(
-            loop_, pool_, log_, metrics_, settings_.store, settings_.vmName,
-            Endpoint{settings_.vm.ip, settings_.firstInternalPort});
-        permits_ = std::make_unique<LimitPermits>(context_, peers_, *directory_);
+            loop_, pool_, log_, metrics_, settings_.storeEndpoint, settings_.vmName,
+            Endpoint{settings_.vmAddress.ip, settings_.firstInternalPort});
+        permits_ = std::make_unique<LimitPermits>(context_, messageSocket_, *directory_);
         scheduleCheck();
         loop_.run();
         log_.info("process.stop", {{"open_requests", busySessions()}});
@@ -124,9 +126,9 @@
     void watchStore()
     {
         configurationWatch_ = std::make_unique<StoreWatch>(
-            loop_, pool_, log_, metrics_, settings_.store,
+            loop_, pool_, log_, metrics_, settings_.storeEndpoint,
             WatchPlan{"configuration", platform::operatorTopic,
-                      configurationWait(settings_.configurationTime), milliseconds(0)},
+                      configurationWait(settings_.configurationApplyTime), milliseconds(0)},
             WatchEvents{.record = [this](const auto &record) { applyConfiguration(record); },
                         .snapshot =
                             [this](const auto &records) {
@@ -134,23 +136,24 @@
                                     applyConfiguration(record);
                             },
                         .reconnected = [] {},
-                        .confirmed = [this](TimePoint at) { context_.routesConfirmedAt = at; },
+                        .answered = [this](TimePoint at) { context_.configurationReadAt = at; },
                         .upToDate = [](TimePoint) {}});
         backendsWatch_ = std::make_unique<StoreWatch>(
-            loop_, pool_, log_, metrics_, settings_.store,
+            loop_, pool_, log_, metrics_, settings_.storeEndpoint,
             WatchPlan{"backends", platform::backendsTopic, milliseconds(0),
                       backendsPollInterval(settings_.drainTime)},
             WatchEvents{
-                .record = [this](const auto &record) { list_.apply(record, monotonicNow()); },
+                .record =
+                    [this](const auto &record) { backendList_.apply(record, monotonicNow()); },
                 .snapshot =
-                    [this](const auto &records) { list_.applyAll(records, monotonicNow()); },
-                .reconnected = [this] { list_.storeReconnected(monotonicNow()); },
-                .confirmed = [](TimePoint) {},
+                    [this](const auto &records) { backendList_.applyAll(records, monotonicNow()); },
+                .reconnected = [this] { backendList_.storeReconnected(monotonicNow()); },
+                .answered = [](TimePoint) {},
                 .upToDate =
                     [this](TimePoint at) {
                         noteListRead(registry_, at);
-                        context_.listKnown = list_.known();
-                        serveWaitingSoon();
+                        context_.backendsKnown = backendList_.known();
+                        scheduleDispatch();
                     }});
     }
 
@@ -164,7 +167,8 @@
             return;
         }
         const std::uint64_t version = decoded.value().version;
-        // Records that come again, as after lost history, must not bring an older version back.
+        // If the store no longer has the next record, the newest records are read again. They must
+        // not restore an older version.
         if (context_.routes && version <= context_.routes->configuration().version)
             return;
         context_.routes = std::make_shared<const RouteTable>(
@@ -194,7 +198,7 @@
     {
         const BackendLoad reported{.running = load.running,
                                    .waiting = load.waiting,
-                                   .at = monotonicNow(),
+                                   .receivedAt = monotonicNow(),
                                    .slowdown = load.slowdown,
                                    .open = load.open,
                                    .gateways = load.gateways};
@@ -202,20 +206,20 @@
         for (auto &[id, state] : registry_.backends) {
             if (state.entry.address != load.engine)
                 continue;
-            if (noteOpening(registry_, state, reported))
-                noteOpeningOf(state.entry.service);
+            if (noteGroupOpening(registry_, state, reported))
+                handleGroupOpening(state.entry.service);
             noteLoad(state, reported, context_.randomUnit());
         }
-        serveWaitingSoon();
+        scheduleDispatch();
     }
 
     void receivePermitReply(const Endpoint &from, const PermitReplyMessage &message)
     {
         if (permits_->receive(from, message, monotonicNow()))
-            serveWaitingSoon();
+            scheduleDispatch();
     }
 
-    void noteOpeningOf(const std::string &service)
+    void handleGroupOpening(const std::string &service)
     {
         log_.info("group.opened", {{"service", service}});
         backendsWatch_->readSoon(monotonicNow());
@@ -223,9 +227,9 @@
 
     void acceptCaller(int descriptor)
     {
-        const std::size_t maxSessions = settings_.openFiles > descriptorsKept
-            ? (settings_.openFiles - descriptorsKept) / 2
-            : settings_.openFiles / 2;
+        const std::size_t maxSessions = settings_.maxOpenFiles > reservedDescriptors
+            ? (settings_.maxOpenFiles - reservedDescriptors) / 2
+            : settings_.maxOpenFiles / 2;
         if (sessions_.size() >= maxSessions) {
             ::close(descriptor);
             log_.warn("caller.refused",
@@ -237,7 +241,7 @@
             context_, descriptor,
             SessionEvents{.closed = [this, id] { endSession(id); },
                           .queued = [this, id] { waiting_.push_back(id); },
-                          .slotFreed = [this] { serveWaitingSoon(); },
+                          .slotFreed = [this] { scheduleDispatch(); },
                           .stopping = [this] { return stopping_; }});
     }
 
@@ -246,25 +250,27 @@
         const auto found = sessions_.find(id);
         if (found == sessions_.end())
             return;
-        // It may be the one that is running: it goes at the end of the round.
+        // A callback of the session may be running, so it is destroyed at the end of the loop's
+        // round.
         std::shared_ptr<Session> ended = std::move(found->second);
         sessions_.erase(found);
         loop_.defer([ended] {});
-        serveWaitingSoon();
+        scheduleDispatch();
     }
 
-    void serveWaitingSoon()
+    void scheduleDispatch()
     {
-        if (servingSoon_ || waiting_.empty())
+        if (dispatchScheduled_ || waiting_.empty())
             return;
-        servingSoon_ = true;
-        loop_.defer([this] { serveWaiting(); });
+        dispatchScheduled_ = true;
+        loop_.defer([this] { dispatchWaiting(); });
     }
 
-    /// Offers places to those that wait, the most urgent first and then in order of arrival.
-    void serveWaiting()
+    /// Tries to dispatch the waiting requests: the most urgent first, which have the lowest
+    /// priority number, and then in order of arrival.
+    void dispatchWaiting()
     {
-        servingSoon_ = false;
+        dispatchScheduled_ = false;
         std::erase_if(waiting_,
                       [this](std::uint64_t id) { return waitingExchange(id) == nullptr; });
         std::stable_sort(waiting_.begin(), waiting_.end(),
@@ -288,7 +294,7 @@
         return exchange->waiting() ? exchange : nullptr;
     }
 
-    bool ready() const { return !stopping_ && context_.routes && list_.known(); }
+    bool ready() const { return !stopping_ && context_.routes && backendList_.known(); }
 
     std::string metricsText()
     {
@@ -299,7 +305,7 @@
              .connections = sessions_.size(),
              .openRequests = busySessions(),
              .waitingRequests = waiting_.size(),
-             .serverLimits = limitsInForce(registry_.limits),
+             .serverLimits = activeLimitCount(registry_.limits),
              .ready = ready(),
              .droppedLogLines = log_.dropped()});
         for (auto &[service, bucket] : context_.retryBuckets) {
@@ -308,26 +314,26 @@
         }
         for (const ServiceSlots &slots : slotsOf(registry_, now))
             setSlots(metrics_, slots);
-        noteStoreAge("configuration", *configurationWatch_, now);
-        noteStoreAge("backends", *backendsWatch_, now);
+        updateStoreAge("configuration", *configurationWatch_, now);
+        updateStoreAge("backends", *backendsWatch_, now);
         return metrics_.text();
     }
 
-    void noteStoreAge(const std::string &topic, const StoreWatch &watch, TimePoint now)
+    void updateStoreAge(const std::string &watchName, const StoreWatch &watch, TimePoint now)
     {
         if (watch.answeredAt())
-            setStoreAge(metrics_, topic, remaining(*watch.answeredAt(), now));
+            setStoreAge(metrics_, watchName, remaining(*watch.answeredAt(), now));
     }
 
     void scheduleCheck()
     {
         loop_.runAfter(checkPeriod, [this] {
-            check(monotonicNow());
+            checkTimeouts(monotonicNow());
             scheduleCheck();
         });
     }
 
-    void check(TimePoint now)
+    void checkTimeouts(TimePoint now)
     {
         std::vector<std::uint64_t> ids;
         ids.reserve(sessions_.size());
@@ -341,16 +347,17 @@
         hellos_.sendDue(now);
         directory_->checkTimeouts(now);
         if (permits_->requestPermits(now))
-            serveWaitingSoon();
+            scheduleDispatch();
         configurationWatch_->checkTimeouts(now);
         backendsWatch_->checkTimeouts(now);
-        list_.checkTimeouts(now);
+        backendList_.checkTimeouts(now);
         pool_.closeExpired(now);
         if (stopping_)
             checkStop(now);
     }
 
-    /// Takes over what may change while the process runs. A file that can't be read keeps the old.
+    /// Applies the settings that may change while the process runs: retry quota and grace period.
+    /// If the file can't be read, the current settings stay.
     void reload()
     {
         auto read = platform::loadProcessSettings();
@@ -378,16 +385,16 @@
 
     void checkStop(TimePoint now)
     {
-        const bool over = now - stopAt_ >= settings_.gracePeriod - stopMargin;
-        if (over) {
+        const bool outOfTime = now - stopAt_ >= settings_.gracePeriod - stopMargin;
+        if (outOfTime) {
             loop_.stop();
             return;
         }
         if (now - stopAt_ < stopAcceptingAfter)
             return;
-        // Where too few gateways of a failure domain are ready the platform goes on sending callers
-        // here. A request that is taken too late would be cut by the end of the process.
-        callers_.close();
+        // If too few gateways of a failure domain are ready, the platform keeps sending callers
+        // here. A request that is accepted too late would be cut off by the end of the process.
+        callerListener_.close();
         std::vector<std::uint64_t> idle;
         for (const auto &[id, session] : sessions_) {
             if (session->idle())
@@ -408,19 +415,20 @@
 
     platform::ProcessSettings settings_;
     EventLoop loop_;
-    /// Before whatever starts a thread, as the log does: a thread in which the signals are not
-    /// blocked takes SIGTERM, and its default ends the process with all requests.
+    /// Declared before all members that start a thread, such as the log: the kernel would deliver
+    /// SIGTERM to a thread that does not block it, and the default action ends the process with all
+    /// its requests.
     ShutdownSignal shutdown_;
     EventLog log_;
     Metrics metrics_;
     HttpClientPool pool_;
     BackendRegistry registry_;
     GatewayContext context_;
-    BackendList list_;
-    TcpListener callers_;
-    StatusListener readiness_;
-    StatusListener scrapes_;
-    DatagramSocket peers_;
+    BackendList backendList_;
+    TcpListener callerListener_;
+    StatusListener readinessListener_;
+    StatusListener metricsListener_;
+    DatagramSocket messageSocket_;
     SidecarHellos hellos_;
     std::unique_ptr<StoreWatch> configurationWatch_;
     std::unique_ptr<StoreWatch> backendsWatch_;
@@ -429,7 +437,7 @@
     std::map<std::uint64_t, std::unique_ptr<Session>> sessions_;
     std::vector<std::uint64_t> waiting_;
     std::uint64_t lastSession_ = 0;
-    bool servingSoon_ = false;
+    bool dispatchScheduled_ = false;
     bool stopping_ = false;
     TimePoint stopAt_;
 };
--- a/Source/Programs/Gateway/LimitPermits.h
+++ b/Source/Programs/Gateway/LimitPermits.h
@@ -10,18 +10,21 @@
 
 namespace wisteria {
 
-/// Carries the questions and answers by which all gateways together keep to the limits that backend
-/// servers name.
+/// Exchanges permit messages with the other gateways, so that all gateways together keep within the
+/// limits that backend servers advertise.
 class LimitPermits
 {
 public:
-    LimitPermits(GatewayContext &context, DatagramSocket &peers, GatewayDirectory &directory);
+    LimitPermits(GatewayContext &context, DatagramSocket &socket, GatewayDirectory &directory);
 
-    /// Asks where a question is due.
-    /// @return Whether a request may now be sent that could not be before.
+    /// Requests the permits that are due: from another gateway by a message, or at once if this
+    /// gateway owns the limit. Also forgets old limits.
+    /// @return Whether a caller's request may now be sent that was not permitted before.
     bool requestPermits(TimePoint now);
+    /// Replies to a permit request of another gateway.
     void receive(const Endpoint &from, const PermitRequestMessage &message, TimePoint now);
-    /// @return As `requestPermits` does.
+    /// Applies the reply of another gateway.
+    /// @return Whether a caller's request may now be sent that was not permitted before.
     bool receive(const Endpoint &from, const PermitReplyMessage &message, TimePoint now);
 
 private:
@@ -31,9 +34,9 @@
     bool applyOwnReply(const PermitReply &reply, TimePoint now);
 
     GatewayContext &context_;
-    DatagramSocket &peers_;
+    DatagramSocket &socket_;
     GatewayDirectory &directory_;
-    /// Limits that this gateway keeps, by backend server.
+    /// Limits that this gateway owns, by backend server.
     OwnedLimits ownedLimits_;
 };
 
--- a/Source/Programs/Gateway/SidecarHellos.h
+++ b/Source/Programs/Gateway/SidecarHellos.h
@@ -10,26 +10,28 @@
 
 namespace wisteria {
 
-/// Makes the gateway known to the sidecars of its services' engines.
+/// Announces this gateway to the sidecars of its services' engines. The entry of a group's backend
+/// server has the address of its engine.
 class SidecarHellos
 {
 public:
-    /// @param port Where sidecars take messages.
-    SidecarHellos(const GatewayContext &context, DatagramSocket &peers, std::uint16_t port);
+    /// @param port Port on which sidecars receive datagrams.
+    SidecarHellos(const GatewayContext &context, DatagramSocket &socket, std::uint16_t port);
 
-    /// Says hello to those that are due: which list of engines this gateway has.
+    /// Sends hellos that are due. A hello contains the digest of this gateway's engine list.
     void sendDue(TimePoint now);
-    /// Answers a sidecar with the list of its engine's service.
+    /// Sends a sidecar the engine list of its service, if an engine on its VM is known.
     void sendEngineList(const Endpoint &sidecar);
 
 private:
     void sendHello(const std::string &service, const EngineProfile &engine, bool toAll,
                    TimePoint now);
+    /// Engines that became known recently and whose sidecars have not reported yet.
     std::vector<Endpoint> silentEngines(const std::string &service, TimePoint now) const;
     EngineList engineListOf(const std::string &service, const EngineProfile &engine) const;
 
     const GatewayContext &context_;
-    DatagramSocket &peers_;
+    DatagramSocket &socket_;
     std::uint16_t port_;
     TimePoint sentToAllAt_;
     TimePoint sentAt_;
--- a/Tests/Gateway/GatewayUnderTest.cpp
+++ b/Tests/Gateway/GatewayUnderTest.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// Signals that a gateway takes must be blocked in every thread before the first one starts.
+/// The signals that a gateway handles must be blocked before the first thread starts, so that every
+/// thread inherits the mask.
 const bool signalsBlocked = [] {
     sigset_t signals;
     sigemptyset(&signals);
@@ -44,11 +45,11 @@
     ::setenv("WISTERIAWIND_CONFIG", settings.c_str(), 1);
     if (output >= 0)
         ::dup2(output, STDOUT_FILENO);
-    std::vector<char *> words = {const_cast<char *>(path.c_str())};
+    std::vector<char *> argumentVector = {const_cast<char *>(path.c_str())};
     for (const std::string &argument : arguments)
-        words.push_back(const_cast<char *>(argument.c_str()));
-    words.push_back(nullptr);
-    ::execv(path.c_str(), words.data());
+        argumentVector.push_back(const_cast<char *>(argument.c_str()));
+    argumentVector.push_back(nullptr);
+    ::execv(path.c_str(), argumentVector.data());
     ::_exit(127);
 }
 
--- a/Tests/Gateway/GatewayUnderTest.h
+++ b/Tests/Gateway/GatewayUnderTest.h
@@ -23,9 +23,9 @@
 /// A new folder under /tmp.
 std::string temporaryFolder();
 
-/// Starts a program of the build with the signals as a shell leaves them.
-/// @param settings The settings file.
-/// @param output Descriptor that becomes its standard output; the test's own when negative.
+/// Starts a program of the build with no signal blocked, as a shell does.
+/// @param settings Path of the settings file.
+/// @param output Descriptor that becomes its standard output; inherited from the test if negative.
 pid_t startProgram(const std::string &program, const std::string &settings,
                    const std::vector<std::string> &arguments = {}, int output = -1);
 
@@ -45,36 +45,38 @@
 /// @return The file's path.
 std::string writeSettings(const std::string &vmName, const ProgramAddresses &addresses);
 
-/// A response header that marks an answer as the backend server's own.
+/// A header field that marks an answer as the backend server's own.
 inline constexpr const char *seal = "Wisteriawind-Response-Seal: s\r\n";
 
 /// A route of the configuration.
 nlohmann::json routeOf(const std::string &prefix, const std::string &kind,
                        const std::string &service, bool resumable);
 
-/// A configuration with routes of each kind: /once/, /again/ and /stream/.
+/// A configuration with one route of each kind: /once/ (non-idempotent), /again/ (idempotent) and
+/// /stream/ (streaming, resumable).
 nlohmann::json configurationOf(int version);
 
-/// A gateway in a thread of its own before a stand-in of the store.
-class Running
+/// A gateway in a separate thread of the test process, with a stand-in of the store. Its event loop
+/// handles SIGTERM and SIGHUP of the process.
+class GatewayUnderTest
 {
 public:
-    explicit Running(milliseconds gracePeriod = milliseconds(1000))
+    explicit GatewayUnderTest(milliseconds gracePeriod = milliseconds(1000))
     {
         settings_.vmName = "front-1";
         settings_.failureDomain = "a";
-        settings_.callers = Endpoint{INADDR_LOOPBACK, freePort()};
-        settings_.readiness = Endpoint{INADDR_LOOPBACK, freePort()};
-        settings_.metrics = Endpoint{INADDR_LOOPBACK, freePort()};
-        settings_.vm = {INADDR_LOOPBACK, 0};
+        settings_.callerEndpoint = Endpoint{INADDR_LOOPBACK, freePort()};
+        settings_.readinessEndpoint = Endpoint{INADDR_LOOPBACK, freePort()};
+        settings_.metricsEndpoint = Endpoint{INADDR_LOOPBACK, freePort()};
+        settings_.vmAddress = {INADDR_LOOPBACK, 0};
         settings_.firstInternalPort = freePort();
-        settings_.store = store.endpoint();
-        settings_.retrySlack = 200;
+        settings_.storeEndpoint = store.endpoint();
+        settings_.baseRetries = 200;
         settings_.gracePeriod = gracePeriod;
     }
 
-    /// Starts the gateway. What the store holds by then it knows when it is ready; what comes later
-    /// it reads a while after.
+    /// Starts the gateway. When it is ready, it has read what the store held at the start; it reads
+    /// later records with a delay.
     void start()
     {
         if (gateway_)
@@ -83,7 +85,7 @@
         end_ = std::async(std::launch::async, [this] { return gateway_->run().has_value(); });
     }
 
-    ~Running()
+    ~GatewayUnderTest()
     {
         if (end_.valid()) {
             ::kill(::getpid(), SIGTERM);
@@ -106,16 +108,20 @@
 
     bool ready() const
     {
-        return callServer(*settings_.readiness, "GET /readiness HTTP/1.1\r\nHost: x\r\n\r\n").status
+        return callServer(*settings_.readinessEndpoint,
+                          "GET /readiness HTTP/1.1\r\nHost: x\r\n\r\n")
+                   .status
             == 200;
     }
 
-    /// Sends until the answer has the status; the watches of the store take their time.
+    /// Repeats a request until its answer has the status, because the gateway reads changes of the
+    /// store with a delay.
+    /// @return The last answer.
     CallResult callUntil(const std::string &request, int status) const
     {
         CallResult result;
         eventually([&] {
-            result = callServer(*settings_.callers, request);
+            result = callServer(*settings_.callerEndpoint, request);
             return result.status == status;
         });
         return result;
@@ -128,27 +134,32 @@
     }
 
     /// Starts the gateway with one backend server and waits until it is ready.
-    void startWith(const std::string &id, const std::string &service, const ScriptedServer &server)
+    void startWithBackend(const std::string &id, const std::string &service,
+                          const ScriptedServer &server)
     {
         configure();
         addBackend(id, service, server);
         waitUntilReady();
     }
 
-    /// The metrics as a scraper gets them.
+    /// The text of a scrape.
     std::string metrics() const
     {
-        return callServer(*settings_.metrics, "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n").body;
+        return callServer(*settings_.metricsEndpoint, "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
+            .body;
     }
 
-    const Endpoint &callers() const { return *settings_.callers; }
+    const Endpoint &callers() const { return *settings_.callerEndpoint; }
 
-    /// Where it takes messages of other processes of the system.
-    Endpoint messages() const { return {settings_.vm.ip, settings_.firstInternalPort}; }
+    /// Where the gateway receives datagrams of sidecars and other gateways.
+    Endpoint messageEndpoint() const
+    {
+        return {settings_.vmAddress.ip, settings_.firstInternalPort};
+    }
 
     CallResult call(const std::string &request) const
     {
-        return callServer(*settings_.callers, request);
+        return callServer(*settings_.callerEndpoint, request);
     }
 
     StoreStandIn store;
@@ -159,20 +170,20 @@
     std::future<bool> end_;
 };
 
-/// A caller's request with the key of the configuration.
+/// A caller's request with the API key of `configurationOf`.
 std::string requestFor(const std::string &target, const std::string &id,
                        const std::string &method = "POST");
 
-/// A backend server's whole answer to a request.
+/// A backend server's complete answer to a request, with the seal.
 std::string sealed(const SeenRequest &request, int status, const std::string &body);
 
-/// One event of a stream; its data names the number.
+/// One event of a stream, with its number in id and data.
 std::string eventText(int id);
 
-/// The head of a stream in chunks that answers a request.
+/// The head of an answer that streams events in chunks.
 std::string streamHead(const SeenRequest &request);
 
-/// Bytes as one chunk of a body.
+/// Bytes as one chunk of a chunked body.
 std::string chunk(const std::string &bytes);
 
 } // namespace wisteria::gateway_tests
--- a/Tests/Gateway/GroupHelloTest.cpp
+++ b/Tests/Gateway/GroupHelloTest.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint32_t sidecarIp = 0x7F000003;
-constexpr std::uint32_t strangerIp = 0x7F000004;
+constexpr std::uint32_t unlistedIp = 0x7F000004;
 
 nlohmann::json configurationWithGroup()
 {
@@ -23,15 +23,15 @@
 
 } // namespace
 
-// Guards against requests sent to ranks that are still closed after a loss of power: their sidecars
-// started just after the gateway's first hello and would hear nothing for 0.6 s.
-TEST_CASE("A gateway says hello often until a sidecar that it does not know yet has answered")
+// Guards against requests to ranks that are still closed after a power loss: their sidecars start
+// just after the gateway's first hello, and the next one at the usual interval is 0.6 s later.
+TEST_CASE("A gateway sends hellos at a short interval until a new sidecar has answered")
 {
     const ScriptedServer engine([](const SeenRequest &, ScriptPeer &) {}, sidecarIp);
-    Running gateway;
+    GatewayUnderTest gateway;
     gateway.store.put("keyed.op", "config", configurationWithGroup());
     gateway.addBackend("i-1", "model", engine);
-    const DatagramPeer sidecar(sidecarIp, gateway.messages());
+    const DatagramPeer sidecar(sidecarIp, gateway.messageEndpoint());
     gateway.waitUntilReady();
     REQUIRE(sidecar.countWithin<GatewayHello>(milliseconds(550)) >= 4);
     sidecar.send(EngineLoad{.engine = engine.endpoint(), .open = false});
@@ -39,16 +39,17 @@
     REQUIRE(sidecar.countWithin<GatewayHello>(milliseconds(550)) <= 1);
 }
 
-// After a restart a sidecar knows no other engine: without the list it neither leads its group nor
-// passes maps on, and the group keeps a map that no longer fits. The hello only names the list.
-TEST_CASE("A gateway names its list of engines in each hello, and tells it to a sidecar that asks")
+// Guards against a group that keeps an unsuitable expert map: a restarted sidecar has no engine
+// list, without which it can't lead or apply changes to the first map. A hello contains only the
+// list's digest.
+TEST_CASE("A gateway sends the digest of its engine list in each hello, and the list on request")
 {
     const ScriptedServer engine([](const SeenRequest &, ScriptPeer &) {}, sidecarIp);
-    Running gateway;
+    GatewayUnderTest gateway;
     gateway.store.put("keyed.op", "config", configurationWithGroup());
     gateway.addBackend("i-1", "model", engine);
-    const DatagramPeer sidecar(sidecarIp, gateway.messages());
-    const DatagramPeer stranger(strangerIp, gateway.messages());
+    const DatagramPeer sidecar(sidecarIp, gateway.messageEndpoint());
+    const DatagramPeer unlisted(unlistedIp, gateway.messageEndpoint());
     gateway.waitUntilReady();
     std::vector<GatewayHello> hellos;
     REQUIRE(eventually([&] {
@@ -62,6 +63,6 @@
     REQUIRE(lists.front().profile.expertsPerSet == 4);
     REQUIRE(digestOf(lists.front()) == hellos.front().listDigest);
     // No engine runs on that VM.
-    stranger.send(EngineListRequest{});
-    REQUIRE(stranger.countWithin<EngineList>(milliseconds(100)) == 0);
+    unlisted.send(EngineListRequest{});
+    REQUIRE(unlisted.countWithin<EngineList>(milliseconds(100)) == 0);
 }
