--- a/Tests/Version/HoldRecoveryTest.cpp
+++ b/Tests/Version/HoldRecoveryTest.cpp
@@ -1,3 +1,5 @@
+#include <algorithm>
+
 #include <catch2/catch.hpp>
 
 #include "Version/RankGroupWorld.h"
@@ -60,3 +62,77 @@
     noteHold(election, false, start + milliseconds(6100));
     REQUIRE_FALSE(isLeader(election, position, start + milliseconds(6500)));
 }
+
+// Guards against a leader with a wrong view of the map in force. It has a map of its own version,
+// adopts the version that another leader armed on all ranks, and takes its own map for that
+// version's. Ranks then omit their experts, and the leader adds those of the older map.
+TEST_CASE("A leader that adopts another leader's armed version does not complete statuses from its "
+          "own older map")
+{
+    const RankMap olderMap{{{0, 4}, {1, 5}, {2, 6}, {3, 7}}};
+    const RankMap adoptedMap{{{1, 5}, {2, 6}, {3, 7}, {0, 4}}};
+    constexpr std::uint32_t otherLeader = 2;
+    constexpr std::uint64_t olderVersion = ranksPerVersionTick;
+    constexpr std::uint64_t adoptedVersion = 2 * ranksPerVersionTick + otherLeader;
+    constexpr TimePoint start{seconds(100)};
+    GroupSwitch group{.group = "g", .epoch = 1, .version = olderVersion, .map = olderMap};
+    // Ranks omit their experts if the leader knows the map, as sidecars do.
+    const auto applyStatuses = [&group](RankReport report, const RankMap &map, TimePoint now) {
+        const std::vector<std::uint64_t> known = knownMaps(group);
+        const auto heldPass = report.heldPass;
+        for (std::uint32_t rank = 0; rank < rankCount; ++rank) {
+            report.rank = rank;
+            report.heldPass = rank == holderOf(otherLeader, rankCount) ? heldPass : std::nullopt;
+            RankStatus status{.engine = {rank + 1, 1}, .report = report};
+            if (std::find(known.begin(), known.end(), report.map) == known.end())
+                status.experts = {map[0][rank]};
+            applyStatus(group, status, now);
+        }
+    };
+    RankReport report{
+        .group = "g", .epoch = 1, .groupSize = rankCount, .groupOpen = true, .pass = 11};
+    report.map = olderVersion;
+    report.armed = adoptedVersion;
+    report.armedPass = 12;
+    report.heldPass = 12;
+    applyStatuses(report, olderMap, start);
+    REQUIRE(currentMap(group, profile) == olderMap);
+    const LeaderIdentity leader{.rank = 0, .versionTick = 3};
+    advanceSwitch(group, profile, {}, SwitchTiming{}, leader, start);
+    advanceSwitch(group, profile, {}, SwitchTiming{}, leader, start);
+    REQUIRE(group.phase == SwitchPhase::Releasing);
+    REQUIRE(group.version == adoptedVersion);
+
+    report.pass = 12;
+    report.map = adoptedVersion;
+    report.armed = 0;
+    report.heldPass.reset();
+    applyStatuses(report, adoptedMap, start + milliseconds(40));
+    REQUIRE(currentMap(group, profile) == adoptedMap);
+}
+
+// Guards against the same in whole runs. A leader freezes while it arms the ranks. Its successor
+// first chooses a recovery version with the old map, then finds all ranks armed, and adopts.
+TEST_CASE("A leader that adopts the version of a frozen leader never takes another map for the one "
+          "in force")
+{
+    int adopted = 0;
+    int wrong = 0;
+    std::uint64_t firstWrongSeed = 0;
+    for (std::uint64_t seed = 1; seed <= 200; ++seed) {
+        RankGroupWorld world(seed,
+                             {.lostMessages = 0.1,
+                              .freeze = milliseconds(300 + 10 * static_cast<int>(seed)),
+                              .freezeWhileArming = true});
+        world.run(seconds(8));
+        CAPTURE(seed);
+        REQUIRE(world.leaderFroze());
+        adopted += world.leaderAdopted() ? 1 : 0;
+        if (world.leaderHadWrongMap() && wrong++ == 0)
+            firstWrongSeed = seed;
+    }
+    CAPTURE(adopted, firstWrongSeed);
+    // The ranks are armed before the freeze in only some of the runs.
+    REQUIRE(adopted >= 60);
+    REQUIRE(wrong == 0);
+}
--- a/Tests/Version/RankGroupWorld.h
+++ b/Tests/Version/RankGroupWorld.h
@@ -101,6 +101,10 @@
     /// Whether all ranks but the frozen leader's were armed just before the freeze ended, so that
     /// it was unknown whether that rank was armed too.
     bool allOthersArmed() const { return allOthersArmed_; }
+    /// Whether a leader released the group for a version that another leader created.
+    bool leaderAdopted() const { return leaderAdopted_; }
+    /// Whether a leader assigned experts to a rank that the rank does not have in that version.
+    bool leaderHadWrongMap() const { return leaderHadWrongMap_; }
     /// Number of switches that came into force.
     std::uint32_t switches() const { return switches_; }
 
@@ -354,16 +358,28 @@
                 const CountsReply counts{
                     .group = "g", .epoch = 1, .ranks = 1, .passes = 1, .counts = rank.counts};
                 const RankStatus sent = withoutKnownExperts(leaders_[leader].group, status);
-                schedule(randomDelay(1, 30) + queueDelay(leader), [this, leader, sent, counts] {
-                    if (leader >= leaders_.size() || leaders_[leader].frozen(now_))
-                        return;
-                    applyStatus(leaders_[leader].group, sent, now_);
-                    addDemand(leaders_[leader].group, profile, SwitchTiming{}, counts, now_);
-                });
+                schedule(
+                    randomDelay(1, 30) + queueDelay(leader), [this, leader, status, sent, counts] {
+                        if (leader >= leaders_.size() || leaders_[leader].frozen(now_))
+                            return;
+                        applyStatus(leaders_[leader].group, sent, now_);
+                        checkView(leaders_[leader].group, status);
+                        addDemand(leaders_[leader].group, profile, SwitchTiming{}, counts, now_);
+                    });
             }
         }
     }
 
+    /// Compares the leader's view of a rank with that rank's whole status. A view without experts
+    /// is incomplete, not wrong.
+    void checkView(const GroupSwitch &leader, const RankStatus &whole)
+    {
+        const RankStatus &view = leader.ranks.at(whole.report.rank).status;
+        const bool wrong = view.report.map == whole.report.map && !view.experts.empty()
+            && view.experts != whole.experts;
+        leaderHadWrongMap_ = leaderHadWrongMap_ || wrong;
+    }
+
     /// Returns the status as a sidecar sends it: without experts if the leader knows the map.
     static RankStatus withoutKnownExperts(const GroupSwitch &leader, RankStatus status)
     {
@@ -391,6 +407,10 @@
         const auto tick = static_cast<std::uint64_t>(remaining(TimePoint(), now_).count() / 100);
         const SwitchUpdate update = advanceSwitch(leader.group, profile, bounds_, SwitchTiming{},
                                                   {.rank = leader.rank, .versionTick = tick}, now_);
+        const GroupSwitch &group = leader.group;
+        leaderAdopted_ = leaderAdopted_
+            || (group.phase == SwitchPhase::Releasing
+                && group.version % ranksPerVersionTick != leader.rank);
         for (const SwitchAction &action : update.actions) {
             if (occurs(faults_.lostMessages))
                 continue;
@@ -422,6 +442,8 @@
     TimePoint lastPassAt_ = now_;
     milliseconds maxPassInterval_{0};
     bool beganMixedPass_ = false;
+    bool leaderAdopted_ = false;
+    bool leaderHadWrongMap_ = false;
     std::uint32_t lastLeader_ = 0;
     bool leaderFroze_ = false;
     bool allOthersArmed_ = false;
