--- a/Source/Process/AdminMetrics.cpp
+++ b/Source/Process/AdminMetrics.cpp
@@ -55,16 +55,16 @@
     return prometheus::TextSerializer().Serialize(private_->registry_->Collect());
 }
 
-void AdminMetrics::countChange(ChangeEnd end)
+void AdminMetrics::countChange(ChangeOutcome outcome)
 {
-    switch (end) {
-    case ChangeEnd::Accepted:
+    switch (outcome) {
+    case ChangeOutcome::Accepted:
         private_->accepted_.Increment();
         return;
-    case ChangeEnd::Refused:
+    case ChangeOutcome::Refused:
         private_->refused_.Increment();
         return;
-    case ChangeEnd::NotYetKnown:
+    case ChangeOutcome::NotYetKnown:
         private_->notYetKnown_.Increment();
         return;
     }
--- a/Source/Process/AdminMetrics.h
+++ b/Source/Process/AdminMetrics.h
@@ -10,10 +10,10 @@
 
 namespace wisteria {
 
-/// How an operator's change ended, as metrics count it.
-enum class ChangeEnd { Accepted, Refused, NotYetKnown };
+/// Outcome of an operator's change, as counted in the metrics.
+enum class ChangeOutcome { Accepted, Refused, NotYetKnown };
 
-/// The metrics of an admin.
+/// Metrics of an admin process.
 class AdminMetrics
 {
 public:
@@ -23,8 +23,10 @@
     /// All metrics in Prometheus' text format.
     std::string text() const;
 
-    void countChange(ChangeEnd end);
+    void countChange(ChangeOutcome outcome);
     void countSnapshot();
+    /// Sets the gauges.
+    /// @param objects Number of declared objects in force.
     void setFollower(const FollowerStatus &status, std::size_t objects);
 
 private:
--- a/Source/Process/AdminOperators.cpp
+++ b/Source/Process/AdminOperators.cpp
@@ -16,7 +16,7 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-/// Whether the account's limits cover one object in one of its contents.
+/// Whether a limited account may change an object with this content.
 bool covers(const OperatorAccount &account, const v1::Object &object)
 {
     if (object.has_service())
@@ -70,13 +70,13 @@
         return boost::outcome_v2::success();
     for (const v1::ObjectChange &entry : change.changes()) {
         const ObjectKey key{entry.kind(), entry.name()};
-        const auto held = state.objects.find(key);
-        // Both what the object is and what it would be must be covered; else a backend server could
-        // be taken from a service that the operator has no say in.
+        const auto existing = state.objects.find(key);
+        // The account must cover both the current and the new content. Otherwise an operator could
+        // move a backend server away from a service that the account does not cover.
         const bool wasCovered =
-            held == state.objects.end() || covers(account, held->second.object());
+            existing == state.objects.end() || covers(account, existing->second.object());
         const bool willBeCovered = entry.remove() || covers(account, entry.content());
-        const bool exists = held != state.objects.end() || !entry.remove();
+        const bool exists = existing != state.objects.end() || !entry.remove();
         if (!wasCovered || !willBeCovered || !exists)
             return denied(account, describeKey(key));
     }
--- a/Source/Process/AdminOperators.h
+++ b/Source/Process/AdminOperators.h
@@ -8,15 +8,16 @@
 
 namespace wisteria {
 
-/// Somebody who may change the configuration, as the admin's settings list them.
+/// Operator account from the admin's settings.
 struct OperatorAccount
 {
     std::string name;
-    /// SHA-256 of the token, in lower-case hexadecimal; the token itself is kept nowhere.
+    /// SHA-256 of the token in lower-case hexadecimal; the token itself is not stored.
     std::string tokenSha256;
-    /// May look but not change.
+    /// May read but not change the configuration.
     bool readOnly = false;
-    /// Services and organisations that the operator is limited to; both empty means no limit.
+    /// Services and organisations that the operator may change; if both are empty, there is no
+    /// limit.
     std::vector<std::string> services;
     std::vector<std::string> organisations;
 };
@@ -24,13 +25,13 @@
 /// SHA-256 of a text in lower-case hexadecimal.
 std::string sha256Of(const std::string &text);
 
-/// The account that a token belongs to; null for none.
+/// Returns the account that a token belongs to; null if there is none.
 const OperatorAccount *accountOf(const std::vector<OperatorAccount> &accounts,
                                  const std::string &token);
 
-/// Whether the account may make a change. A limited operator may set and remove the named services,
-/// their backend servers, and the named organisations.
-/// @return Conflict that names the object and whom to ask.
+/// Checks that the account may make a change. A limited operator may set and remove the account's
+/// services, their backend servers, and the account's organisations.
+/// @return Conflict with the object and the remedy.
 Result<void> checkPermission(const OperatorAccount &account, const ConfigState &state,
                              const v1::ChangeRecord &change);
 
--- a/Source/Process/AdminProcess.cpp
+++ b/Source/Process/AdminProcess.cpp
@@ -20,13 +20,13 @@
 
 namespace {
 
-/// How long one read waits at the log; also how long a stop may take.
-constexpr milliseconds readWait(1000);
-/// Pause after a failed read, so that a log in trouble is not stormed.
-constexpr milliseconds retryPause(500);
+/// Maximum time that one read waits for new records; a stop may take as long.
+constexpr milliseconds maxReadWait(1000);
+/// Delay after a failed read, so that retries don't overload a failing log.
+constexpr milliseconds retryDelay(500);
 constexpr milliseconds snapshotTimeout(10000);
 constexpr milliseconds peerTimeout(2000);
-/// Time that calls in flight get when the process stops.
+/// Time to complete calls in flight when the process stops.
 constexpr milliseconds shutdownGrace(5000);
 
 Result<std::string> readFile(const std::string &path)
@@ -72,7 +72,7 @@
 
     Result<void> run()
     {
-        // Blocked before any thread starts, so that only sigwait() below takes them.
+        // Blocked before any thread starts, so that only sigwait() below receives them.
         const sigset_t signals = stopSignals();
         pthread_sigmask(SIG_BLOCK, &signals, nullptr);
         if (settings_.operators.empty())
@@ -80,8 +80,8 @@
                 "no operators are listed in the settings, everybody may change everything");
         BOOST_OUTCOME_TRY(server, serve());
         std::thread control([this] { followLog(); });
-        // Ready once the log was read for the first time, or found out of reach.
-        firstRound_.get_future().wait();
+        // Ready once the log has been replayed for the first time, or a read has failed.
+        firstPollDone_.get_future().wait();
         std::cout << readyLine_ << std::endl;
         int signal = 0;
         sigwait(&signals, &signal);
@@ -117,31 +117,32 @@
         return server;
     }
 
-    /// The control thread: replays, asks peers while the log is out, writes snapshots.
+    /// Runs on the control thread: replays the log, fetches the state from peers while the log
+    /// can't be followed, and writes snapshots.
     void followLog()
     {
-        bool announced = false;
+        bool isReady = false;
         while (!stopping_) {
-            const auto polled = follower_.poll(readWait);
+            const auto polled = follower_.poll(maxReadWait);
             if (!polled) {
                 logger_->warn("{}", polled.error().message);
-                askPeers();
-                std::this_thread::sleep_for(retryPause);
+                fetchFromPeers();
+                std::this_thread::sleep_for(retryDelay);
             }
             metrics_.setFollower(follower_.status(), follower_.state()->objects.size());
             writeSnapshot();
-            if (!announced && (!polled || follower_.usable())) {
-                firstRound_.set_value();
-                announced = true;
+            if (!isReady && (!polled || follower_.usable())) {
+                firstPollDone_.set_value();
+                isReady = true;
             }
         }
     }
 
-    void askPeers()
+    void fetchFromPeers()
     {
         if (settings_.peers.empty())
             return;
-        // One that can't go on needs a peer's position though the version may be the same.
+        // A blocked follower needs a state with a later position, even of the same version.
         const bool blocked = !follower_.status().blocked.empty();
         const Offset known = blocked ? 0 : follower_.state()->version;
         const auto newest = fetchConfigFromPeers(settings_.peers, known, peerTimeout);
@@ -161,7 +162,7 @@
             return;
         v1::ConfigRecord record;
         *record.mutable_snapshot() = snapshotOf(*follower_.state());
-        // A lost answer needs no care: whether this snapshot stands in the log shows on reading.
+        // A lost answer needs no handling: the next reads show whether the snapshot was written.
         const auto appended =
             log_.append(configStream, record.SerializeAsString(), snapshotTimeout);
         if (!appended) {
@@ -181,7 +182,7 @@
     SnapshotSchedule schedule_;
     bool wasCaughtUp_ = false;
     std::atomic<bool> stopping_{false};
-    std::promise<void> firstRound_;
+    std::promise<void> firstPollDone_;
     std::string readyLine_;
     std::shared_ptr<spdlog::logger> logger_ = loggerFor("admin");
 };
--- a/Source/Process/AdminProcess.h
+++ b/Source/Process/AdminProcess.h
@@ -6,16 +6,16 @@
 
 namespace wisteria {
 
-/// Runs wisteria-admin: one control thread that follows the log and writes snapshots, gRPC's
-/// threads for operators, and a page of metrics.
+/// Runs wisteria-admin: one control thread that follows the log and writes snapshots, gRPC threads
+/// for operators' calls, and an HTTP server for metrics.
 class AdminProcess
 {
 public:
     explicit AdminProcess(AdminSettings settings);
     ~AdminProcess();
 
-    /// Serves until a signal asks to stop (SIGTERM or SIGINT), then lets calls end.
-    /// @return BadSettings when an address or file can't be had.
+    /// Serves until SIGTERM or SIGINT, then waits for calls in flight to complete.
+    /// @return BadSettings if an address can't be bound or a file can't be read.
     Result<void> run();
 
 private:
--- a/Source/Process/AdminService.cpp
+++ b/Source/Process/AdminService.cpp
@@ -10,9 +10,9 @@
 #include "Process/ConfigArchive.h"
 #include "Process/FleetProbe.h"
 #include "Process/Logging.h"
+#include "Version/ChangeValidation.h"
 #include "Version/ConfigCheck.h"
 #include "Version/ConfigHistory.h"
-#include "Version/ConfigJudge.h"
 #include "Version/ConfigObject.h"
 
 namespace wisteria {
@@ -20,17 +20,17 @@
 namespace {
 
 constexpr milliseconds defaultTimeout(10000);
-constexpr milliseconds longestTimeout(120000);
+constexpr milliseconds maxTimeout(120000);
 constexpr milliseconds probeTimeout(1500);
-constexpr milliseconds watchPause(300);
+constexpr milliseconds watchInterval(300);
 constexpr std::uint32_t defaultHistory = 50;
-constexpr std::uint32_t longestHistory = 10000;
+constexpr std::uint32_t maxHistory = 10000;
 
-milliseconds timeoutOf(std::uint32_t wanted)
+milliseconds timeoutOf(std::uint32_t requested)
 {
-    if (wanted == 0)
+    if (requested == 0)
         return defaultTimeout;
-    return std::min(milliseconds(wanted), longestTimeout);
+    return std::min(milliseconds(requested), maxTimeout);
 }
 
 std::string randomChangeId()
@@ -77,11 +77,11 @@
                                            : v1::APPLY_OUTCOME_NOT_YET_KNOWN;
 }
 
-ChangeEnd endOf(SubmissionStep step)
+ChangeOutcome changeOutcomeOf(SubmissionStep step)
 {
     if (step == SubmissionStep::Accepted)
-        return ChangeEnd::Accepted;
-    return step == SubmissionStep::Refused ? ChangeEnd::Refused : ChangeEnd::NotYetKnown;
+        return ChangeOutcome::Accepted;
+    return step == SubmissionStep::Refused ? ChangeOutcome::Refused : ChangeOutcome::NotYetKnown;
 }
 
 void fill(v1::ApplyReply &reply, const SubmissionDecision &decision, const std::string &changeId)
@@ -126,7 +126,8 @@
           makeLog_(std::move(makeLog))
     { }
 
-    /// Says who calls; an admin without accounts takes everybody's word.
+    /// Authenticates the caller by its token. An admin without accounts accepts every caller, with
+    /// a null account.
     grpc::Status identify(const grpc::ServerContext &context, const OperatorAccount *&account) const
     {
         account = nullptr;
@@ -141,8 +142,8 @@
 
     grpc::Status requireState() const
     {
-        // An admin that can't follow the log would show operators a state that has moved on, and
-        // could not read a change back.
+        // An admin that can't follow the log would show an outdated state and could not read a
+        // submitted change back.
         const std::string blocked = follower_.status().blocked;
         if (!blocked.empty())
             return {grpc::StatusCode::FAILED_PRECONDITION, blocked};
@@ -152,14 +153,16 @@
                 "this admin has not caught up with the log yet; try again soon"};
     }
 
-    /// Identity, readiness: what each call but Status begins with.
-    grpc::Status begin(const grpc::ServerContext &context, const OperatorAccount *&account) const
+    /// Authenticates the caller and checks readiness; used by every call except Status.
+    grpc::Status checkCall(const grpc::ServerContext &context,
+                           const OperatorAccount *&account) const
     {
         const grpc::Status identified = identify(context, account);
         return identified.ok() ? requireState() : identified;
     }
 
-    /// Fills in what an operator need not state and checks what only the admin can check.
+    /// Sets the fields that the admin determines, then checks the change's shape and the account's
+    /// permission.
     grpc::Status prepare(const OperatorAccount *account, const ConfigState &state,
                          v1::ChangeRecord &change) const
     {
@@ -188,7 +191,7 @@
         const auto log = makeLog_();
         const SubmissionDecision decision =
             submitChange(change, firstAttempt, *log, follower_, timeoutOf(timeout));
-        metrics_.countChange(endOf(decision.step));
+        metrics_.countChange(changeOutcomeOf(decision.step));
         logger_->info("change {} by {}: {} {}", change.change_id(), change.who(),
                       decision.step == SubmissionStep::Accepted
                           ? "in force as version " + std::to_string(decision.version)
@@ -209,18 +212,18 @@
         return addresses;
     }
 
-    /// Milliseconds since a process was last heard of by this admin; nothing if it never was.
-    std::optional<milliseconds> silence(const ProbeResult &result, TimePoint now)
+    /// Time since this admin last received a heartbeat of a process; nothing if it never has.
+    std::optional<milliseconds> timeSinceHeartbeat(const ProbeResult &result, TimePoint now)
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         if (result.heartbeat) {
-            lastHeard_[result.address] = now;
+            lastHeartbeatAt_[result.address] = now;
             return milliseconds(0);
         }
-        const auto heard = lastHeard_.find(result.address);
-        if (heard == lastHeard_.end())
+        const auto lastHeartbeat = lastHeartbeatAt_.find(result.address);
+        if (lastHeartbeat == lastHeartbeatAt_.end())
             return std::nullopt;
-        return std::chrono::duration_cast<milliseconds>(now - heard->second);
+        return std::chrono::duration_cast<milliseconds>(now - lastHeartbeat->second);
     }
 
     std::vector<ProbeResult> probe() const
@@ -238,8 +241,8 @@
     AdminMetrics &metrics_;
     const LogFactory makeLog_;
     std::mutex mutex_;
-    /// By address; bounded by the addresses that were ever declared while this admin runs.
-    std::map<std::string, TimePoint> lastHeard_;
+    /// By address; bounded by the addresses that are declared while this admin runs.
+    std::map<std::string, TimePoint> lastHeartbeatAt_;
     std::shared_ptr<spdlog::logger> logger_ = loggerFor("admin");
 };
 
@@ -255,16 +258,16 @@
                                v1::GetReply *reply)
 {
     const OperatorAccount *account = nullptr;
-    if (const auto begun = private_->begin(*context, account); !begun.ok())
-        return begun;
+    if (const auto checked = private_->checkCall(*context, account); !checked.ok())
+        return checked;
     const auto state = private_->follower_.state();
     const ObjectKey key{request->kind(), request->name()};
-    const auto held = state->objects.find(key);
-    if (held == state->objects.end()) {
+    const auto existing = state->objects.find(key);
+    if (existing == state->objects.end()) {
         return {grpc::StatusCode::NOT_FOUND,
                 describeKey(key) + " does not exist; 'wisteriactl get' lists all"};
     }
-    *reply->mutable_object() = held->second;
+    *reply->mutable_object() = existing->second;
     return grpc::Status::OK;
 }
 
@@ -272,15 +275,15 @@
                                 v1::ListReply *reply)
 {
     const OperatorAccount *account = nullptr;
-    if (const auto begun = private_->begin(*context, account); !begun.ok())
-        return begun;
+    if (const auto checked = private_->checkCall(*context, account); !checked.ok())
+        return checked;
     auto state = private_->follower_.state();
     if (request->at_version() != 0) {
         const auto log = private_->makeLog_();
-        auto former = readStateAt(*log, request->at_version());
-        if (!former)
-            return statusOf(former.error());
-        state = std::make_shared<const ConfigState>(std::move(former).value());
+        auto previous = readStateAt(*log, request->at_version());
+        if (!previous)
+            return statusOf(previous.error());
+        state = std::make_shared<const ConfigState>(std::move(previous).value());
     }
     for (const auto &[key, object] : state->objects) {
         if (request->kind() == v1::OBJECT_KIND_UNSPECIFIED || request->kind() == key.kind)
@@ -295,19 +298,19 @@
                                   v1::DryRunReply *reply)
 {
     const OperatorAccount *account = nullptr;
-    if (const auto begun = private_->begin(*context, account); !begun.ok())
-        return begun;
+    if (const auto checked = private_->checkCall(*context, account); !checked.ok())
+        return checked;
     const auto state = private_->follower_.state();
     v1::ChangeRecord change = request->change();
     if (const auto prepared = private_->prepare(account, *state, change); !prepared.ok())
         return prepared;
-    const ChangeJudgement judgement = judgeChange(*state, state->position + 1, change);
-    reply->set_acceptable(judgement.acceptable);
-    reply->set_reason(judgement.reason);
-    reply->set_needs_confirmation(judgement.needsConfirmation);
-    reply->set_digest(judgement.effects.digest);
+    const ChangeValidation validation = validateChange(*state, state->position + 1, change);
+    reply->set_acceptable(validation.acceptable);
+    reply->set_reason(validation.reason);
+    reply->set_needs_confirmation(validation.needsConfirmation);
+    reply->set_digest(validation.effects.digest);
     reply->set_version(state->version);
-    for (const std::string &effect : judgement.effects.farReaching)
+    for (const std::string &effect : validation.effects.farReaching)
         reply->add_effects(effect);
     for (const std::string &line : differencesOf(*state, change))
         reply->add_differences(line);
@@ -318,8 +321,8 @@
                                  v1::ApplyReply *reply)
 {
     const OperatorAccount *account = nullptr;
-    if (const auto begun = private_->begin(*context, account); !begun.ok())
-        return begun;
+    if (const auto checked = private_->checkCall(*context, account); !checked.ok())
+        return checked;
     v1::ChangeRecord change = request->change();
     change.set_cancel(false);
     const bool firstAttempt = request->first_attempt() || change.change_id().empty();
@@ -334,8 +337,8 @@
                                    v1::ApplyReply *reply)
 {
     const OperatorAccount *account = nullptr;
-    if (const auto begun = private_->begin(*context, account); !begun.ok())
-        return begun;
+    if (const auto checked = private_->checkCall(*context, account); !checked.ok())
+        return checked;
     const auto state = private_->follower_.state();
     const SubmissionDecision decision = wisteria::outcomeOf(request->change_id(), *state);
     if (decision.step != SubmissionStep::NotYetKnown || !request->cancel()) {
@@ -357,12 +360,12 @@
                                    v1::HistoryReply *reply)
 {
     const OperatorAccount *account = nullptr;
-    if (const auto begun = private_->begin(*context, account); !begun.ok())
-        return begun;
+    if (const auto checked = private_->checkCall(*context, account); !checked.ok())
+        return checked;
     const std::size_t limit =
-        request->limit() == 0 ? defaultHistory : std::min(request->limit(), longestHistory);
+        request->limit() == 0 ? defaultHistory : std::min(request->limit(), maxHistory);
     std::deque<v1::HistoryEntry> newest;
-    const auto tell = [&](HistoryItem item) {
+    const auto onChange = [&](HistoryItem item) {
         if (!touches(item.change, *request))
             return;
         newest.push_back(entryOf(std::move(item)));
@@ -370,7 +373,7 @@
             newest.pop_front();
     };
     const auto log = private_->makeLog_();
-    const auto oldest = readHistory(*log, tell);
+    const auto oldest = readHistory(*log, onChange);
     if (!oldest)
         return statusOf(oldest.error());
     for (v1::HistoryEntry &entry : newest)
@@ -383,8 +386,8 @@
                                  grpc::ServerWriter<v1::WatchReply> *writer)
 {
     const OperatorAccount *account = nullptr;
-    if (const auto begun = private_->begin(*context, account); !begun.ok())
-        return begun;
+    if (const auto checked = private_->checkCall(*context, account); !checked.ok())
+        return checked;
     const TimePoint deadline = monotonicNow() + timeoutOf(request->timeout_ms());
     while (!context->IsCancelled()) {
         v1::WatchReply reply;
@@ -399,7 +402,7 @@
         writer->Write(reply);
         if (reply.done() || monotonicNow() >= deadline)
             break;
-        private_->follower_.waitBeyond(private_->follower_.status().position, watchPause);
+        private_->follower_.waitBeyond(private_->follower_.status().position, watchInterval);
     }
     return grpc::Status::OK;
 }
@@ -408,12 +411,12 @@
                                  v1::ApplyReply *reply)
 {
     const OperatorAccount *account = nullptr;
-    if (const auto begun = private_->begin(*context, account); !begun.ok())
-        return begun;
+    if (const auto checked = private_->checkCall(*context, account); !checked.ok())
+        return checked;
     const auto state = private_->follower_.state();
     const ObjectKey key{v1::OBJECT_KIND_BACKEND_SERVER, request->backend_server()};
-    const auto held = state->objects.find(key);
-    if (held == state->objects.end())
+    const auto existing = state->objects.find(key);
+    if (existing == state->objects.end())
         return {grpc::StatusCode::NOT_FOUND, describeKey(key) + " does not exist; check the name"};
     v1::ChangeRecord change;
     change.set_change_id(request->change_id());
@@ -423,8 +426,8 @@
     v1::ObjectChange &entry = *change.add_changes();
     entry.set_kind(key.kind);
     entry.set_name(key.name);
-    entry.set_base_version(held->second.version());
-    *entry.mutable_content() = held->second.object();
+    entry.set_base_version(existing->second.version());
+    *entry.mutable_content() = existing->second.object();
     entry.mutable_content()->mutable_backend_server()->set_draining(request->draining());
     if (const auto prepared = private_->prepare(account, *state, change); !prepared.ok())
         return prepared;
@@ -448,7 +451,7 @@
         v1::ProcessStatus &process = *reply->add_processes();
         process.set_address(result.address);
         process.set_state(result.heartbeat ? result.heartbeat->state() : "silent");
-        if (const auto silent = private_->silence(result, monotonicNow()))
+        if (const auto silent = private_->timeSinceHeartbeat(result, monotonicNow()))
             process.set_silent_ms(static_cast<std::uint64_t>(silent->count()));
         if (!result.heartbeat)
             continue;
--- a/Source/Process/AdminService.h
+++ b/Source/Process/AdminService.h
@@ -11,16 +11,16 @@
 
 namespace wisteria {
 
-/// The operators' calls over gRPC. Calls come on gRPC's threads; each waits for the follower, which
-/// the control thread polls.
+/// The operators' gRPC service. Calls run on gRPC's threads and read the state of the follower,
+/// which the control thread polls.
 class AdminService : public v1::Operator::Service
 {
 public:
-    /// Makes a client of the log for one call, since a client serves one thread at a time.
+    /// Creates a log client for one call, since a client must be used by one thread at a time.
     using LogFactory = std::function<std::unique_ptr<LogClient>()>;
 
-    /// @param settings Names the admin, its peers and the operators' accounts.
-    /// @param follower, metrics Outlive the service.
+    /// @param settings Name of the admin, its peers and the operators' accounts.
+    /// @param follower, metrics Must outlive the service.
     AdminService(AdminSettings settings, ConfigFollower &follower, AdminMetrics &metrics,
                  LogFactory makeLog);
     ~AdminService() override;
--- a/Source/Process/AdminSettings.cpp
+++ b/Source/Process/AdminSettings.cpp
@@ -1,7 +1,7 @@
 #include "Process/AdminSettings.h"
 
 #include "Process/Settings.h"
-#include "Version/ConfigJudge.h"
+#include "Version/ChangeValidation.h"
 
 namespace wisteria {
 
--- a/Source/Process/AdminSettings.h
+++ b/Source/Process/AdminSettings.h
@@ -10,7 +10,7 @@
 
 namespace wisteria {
 
-/// What wisteria-admin reads from its settings file; docs/operators/configuration.md lists it.
+/// Settings file of wisteria-admin; docs/operators/configuration.md describes it.
 struct AdminSettings
 {
     std::string name;
@@ -21,9 +21,10 @@
     std::vector<std::string> peers;
     std::string logLevel = "info";
     bool jsonLogs = false;
-    /// A quarter of the log's retention or less.
+    /// Interval between snapshots; at most a quarter of the log's retention.
     milliseconds snapshotPeriod{3600 * 1000};
-    /// Rules that changes are written under; kept old until every process has been upgraded.
+    /// Minimum rules version of submitted changes; stays at the old one until every process has
+    /// been upgraded.
     std::uint32_t rulesVersion = 0;
     std::vector<OperatorAccount> operators;
     /// Certificate and key files in PEM; empty for cleartext.
@@ -32,7 +33,7 @@
 };
 
 /// Reads and checks a settings file.
-/// @return BadSettings or NotFound with the place and the remedy.
+/// @return BadSettings or NotFound with the location in the file and the remedy.
 Result<AdminSettings> loadAdminSettings(const std::string &path);
 
 } // namespace wisteria
--- a/Source/Process/ChangeSubmission.cpp
+++ b/Source/Process/ChangeSubmission.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Pause after an append that was not written, so that a log in trouble is not stormed.
-constexpr milliseconds retryAfterNotWritten(200);
-/// Pause after an append whose answer was lost: time for the record to show up.
-constexpr milliseconds retryAfterUnknown(500);
+/// Delay after an append that was not written, so that retries don't overload a failing log.
+constexpr milliseconds retryDelayNotWritten(200);
+/// Delay after an append whose answer was lost, in which the record may appear in the log.
+constexpr milliseconds retryDelayUnknown(500);
 
 SubmissionDecision verdictOf(const v1::SeenChange &seen)
 {
@@ -18,9 +18,9 @@
     return {SubmissionStep::Refused, 0, seen.reason()};
 }
 
-SubmissionDecision outOfTime(const Submission &submission)
+SubmissionDecision timedOut(const Submission &submission)
 {
-    if (submission.mayStand) {
+    if (submission.mayBeWritten) {
         return {SubmissionStep::NotYetKnown, 0,
                 "the log has not shown the change in time; ask with 'wisteriactl outcome "
                     + submission.change.change_id()
@@ -39,8 +39,8 @@
     const v1::ChangeRecord &change = submission.change;
     const auto seen = state.seen.find(change.change_id());
     if (seen != state.seen.end()) {
-        const bool other = seen->second.content_digest() != contentDigest(change);
-        if (seen->second.accepted() && other) {
+        const bool differs = seen->second.content_digest() != contentDigest(change);
+        if (seen->second.accepted() && differs) {
             return {SubmissionStep::Refused, 0,
                     "change id " + change.change_id() + " was used at offset "
                         + std::to_string(seen->second.offset())
@@ -54,7 +54,7 @@
                     + " was not understood as a change; check that all processes run one release"};
     }
     if (now >= submission.deadline)
-        return outOfTime(submission);
+        return timedOut(submission);
     if (!submission.appendedAt && now >= submission.nextAppend)
         return {SubmissionStep::Append, 0, ""};
     return {};
@@ -65,14 +65,14 @@
     switch (outcome) {
     case AppendOutcome::Written:
         submission.appendedAt = offset;
-        submission.mayStand = true;
+        submission.mayBeWritten = true;
         return;
     case AppendOutcome::NotWritten:
-        submission.nextAppend = now + retryAfterNotWritten;
+        submission.nextAppend = now + retryDelayNotWritten;
         return;
     case AppendOutcome::Unknown:
-        submission.mayStand = true;
-        submission.nextAppend = now + retryAfterUnknown;
+        submission.mayBeWritten = true;
+        submission.nextAppend = now + retryDelayUnknown;
         return;
     }
 }
--- a/Source/Process/ChangeSubmission.h
+++ b/Source/Process/ChangeSubmission.h
@@ -7,55 +7,61 @@
 
 namespace wisteria {
 
-/// One operator's change on its way into the log.
+/// One operator's change that is being appended to the log.
 struct Submission
 {
     v1::ChangeRecord change;
     TimePoint deadline;
-    /// Offset of an append that was answered.
+    /// Offset of the append, once the log has confirmed it.
     std::optional<Offset> appendedAt;
-    /// Whether any append may have been written, by this admin or by another one that was sent the
-    /// same change id before. Failure guarded against: an admin dies after its append, the operator
-    /// repeats the change at another one during an outage, hears "nothing was written", and the
-    /// first append turns up. Only a change id that was never sent before begins with false.
-    bool mayStand = true;
-    /// No append before this moment.
+    /// Whether any append may have been written, by this admin or by another one that received the
+    /// same change id before. Guards against this failure: an admin crashes after its append, the
+    /// operator repeats the change at another one during an outage and is told that nothing was
+    /// written, and then the first append appears. Only a change id that was never sent before
+    /// starts with false.
+    bool mayBeWritten = true;
+    /// Earliest time of the next append.
     TimePoint nextAppend;
 };
 
-/// What an append gave, as far as a submission cares.
+/// Result of an append.
 enum class AppendOutcome {
-    Written, ///< Answered with an offset.
-    NotWritten, ///< Surely not in the log.
-    Unknown, ///< May be in the log already or appear later.
+    Written, ///< The log answered with an offset.
+    NotWritten, ///< Certainly not in the log.
+    Unknown, ///< The record may be in the log already or appear later.
 };
 
+/// Next action of a submission, or its final outcome.
 enum class SubmissionStep {
-    Append, ///< Append the record now; a duplicate of it is harmless by its change id.
-    Wait, ///< Read on and ask again.
+    Append, ///< Append the record now; a duplicate has no effect because of its change id.
+    Wait, ///< Read further records and decide again.
     Accepted, ///< In force.
-    Refused, ///< Judged and refused, or surely never written.
-    NotYetKnown, ///< Out of time while the record may stand in the log.
+    Refused, ///< Refused by the rules, or certainly never written.
+    NotYetKnown, ///< Timed out while the record may be in the log.
 };
 
-/// What to do next, and the answer once there is one.
+/// Next step of a submission, with the version or reason once the outcome is known.
 struct SubmissionDecision
 {
     SubmissionStep step = SubmissionStep::Wait;
+    /// Version of an accepted change; otherwise 0.
     Offset version = 0;
-    /// Why it was refused or is not known, and what to do.
+    /// Why the change was refused or its outcome is unknown, and the remedy.
     std::string reason;
 };
 
-/// Decides on a submission from what was replayed so far. The verdict is the log's alone: nothing
-/// is called accepted or refused before the record was read back, except when it was never written.
+/// Decides the next step of a submission from the state that was replayed so far. Only replay
+/// determines the verdict: a change counts as accepted or refused only after its record was read
+/// back, except that a change that was never written is refused.
 SubmissionDecision decideSubmission(const Submission &submission, const ConfigState &state,
                                     TimePoint now);
 
-/// Takes what an append gave.
+/// Records the result of an append.
+/// @param offset Offset of the record if `outcome` is Written.
 void noteAppend(Submission &submission, AppendOutcome outcome, Offset offset, TimePoint now);
 
-/// What became of a change id, from what was replayed so far.
+/// Returns the outcome of a change id in the state that was replayed so far: Accepted, Refused or
+/// NotYetKnown.
 SubmissionDecision outcomeOf(const std::string &changeId, const ConfigState &state);
 
 } // namespace wisteria
--- a/Source/Process/ChangeSubmitter.cpp
+++ b/Source/Process/ChangeSubmitter.cpp
@@ -4,16 +4,16 @@
 
 namespace {
 
-/// Longest wait for news before the submission is looked at again.
-constexpr milliseconds longestWait(50);
+/// Maximum wait for new records before the next decision on the submission.
+constexpr milliseconds maxWait(50);
 
 AppendOutcome outcomeOf(const Result<Offset> &result)
 {
     if (result.has_value())
         return AppendOutcome::Written;
     const ErrorKind kind = result.error().kind;
-    const bool surelyNot = kind == ErrorKind::Unavailable || kind == ErrorKind::BadInput;
-    return surelyNot ? AppendOutcome::NotWritten : AppendOutcome::Unknown;
+    const bool notWritten = kind == ErrorKind::Unavailable || kind == ErrorKind::BadInput;
+    return notWritten ? AppendOutcome::NotWritten : AppendOutcome::Unknown;
 }
 
 void append(Submission &submission, LogClient &log)
@@ -35,7 +35,7 @@
     Submission submission;
     submission.change = std::move(change);
     submission.deadline = start + timeout;
-    submission.mayStand = !firstAttempt;
+    submission.mayBeWritten = !firstAttempt;
     submission.nextAppend = start;
     auto state = follower.state();
     while (true) {
@@ -44,7 +44,7 @@
             append(submission, log);
         else if (decision.step != SubmissionStep::Wait)
             return decision;
-        state = follower.waitBeyond(state->position, longestWait);
+        state = follower.waitBeyond(state->position, maxWait);
     }
 }
 
--- a/Source/Process/ChangeSubmitter.h
+++ b/Source/Process/ChangeSubmitter.h
@@ -6,9 +6,9 @@
 
 namespace wisteria {
 
-/// Appends a change and reads on until its verdict is known or the time is up. Blocks the caller;
-/// the follower must be polled by another thread meanwhile.
-/// @param firstAttempt Whether no admin was ever sent this change id.
+/// Appends a change and waits until its verdict is known or the timeout expires. Blocks the calling
+/// thread; another thread must poll the follower meanwhile.
+/// @param firstAttempt Whether this change id was never sent to any admin before.
 SubmissionDecision submitChange(v1::ChangeRecord change, bool firstAttempt, LogClient &log,
                                 const ConfigFollower &follower, milliseconds timeout);
 
--- a/Source/Process/ConfigArchive.cpp
+++ b/Source/Process/ConfigArchive.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Reads that one call may take; bounds a call on a log that grows as fast as it is read.
-constexpr int mostReads = 100000;
+/// Maximum number of reads per call, which bounds a call on a log that grows as fast as it is read.
+constexpr int maxReads = 100000;
 
 auto unknownVersion(Offset version)
 {
@@ -17,9 +17,10 @@
                          "'wisteriactl history' lists them");
 }
 
-/// Replays a batch record by record until the version was seen or passed; keeps its state.
-Result<void> lookForVersion(ReplayCursor &cursor, const LogBatch &batch, Offset version,
-                            std::optional<ConfigState> &found)
+/// Replays a batch record by record until the version is passed, and stores the last state of that
+/// version in `found`.
+Result<void> findVersion(ReplayCursor &cursor, const LogBatch &batch, Offset version,
+                         std::optional<ConfigState> &found)
 {
     LogBatch single{{}, batch.first, batch.end};
     for (const LogRecord &record : batch.records) {
@@ -28,7 +29,7 @@
         BOOST_OUTCOME_TRYV(replayBatch(cursor, single));
         if (cursor.state.version == version)
             found = cursor.state;
-        // Once a snapshot was found, reading goes on behind its as_of.
+        // Once a snapshot was found, the next record to read is the one after its as_of.
         if (cursor.state.version > version || wasSearching != cursor.searchFrom.has_value())
             break;
     }
@@ -37,14 +38,14 @@
 
 } // namespace
 
-Result<Offset> readHistory(LogClient &log, const std::function<void(HistoryItem)> &tell)
+Result<Offset> readHistory(LogClient &log, const std::function<void(HistoryItem)> &onChange)
 {
     ReplayCursor cursor;
     Offset oldest = 0;
-    for (int i = 0; i < mostReads; ++i) {
+    for (int i = 0; i < maxReads; ++i) {
         BOOST_OUTCOME_TRY(batch, log.read(configStream, nextOffset(cursor), milliseconds(0)));
         oldest = batch.first;
-        BOOST_OUTCOME_TRYV(replayWithHistory(cursor, batch, tell));
+        BOOST_OUTCOME_TRYV(replayWithHistory(cursor, batch, onChange));
         if (nextOffset(cursor) >= batch.end || !cursor.blocked.empty())
             break;
     }
@@ -55,9 +56,9 @@
 {
     ReplayCursor cursor;
     std::optional<ConfigState> found;
-    for (int i = 0; i < mostReads && cursor.state.version <= version; ++i) {
+    for (int i = 0; i < maxReads && cursor.state.version <= version; ++i) {
         BOOST_OUTCOME_TRY(batch, log.read(configStream, nextOffset(cursor), milliseconds(0)));
-        BOOST_OUTCOME_TRYV(lookForVersion(cursor, batch, version, found));
+        BOOST_OUTCOME_TRYV(findVersion(cursor, batch, version, found));
         if (nextOffset(cursor) >= batch.end || !cursor.blocked.empty())
             break;
     }
--- a/Source/Process/ConfigArchive.h
+++ b/Source/Process/ConfigArchive.h
@@ -5,12 +5,13 @@
 
 namespace wisteria {
 
-/// Replays the whole configuration stream as far as the log still holds it and tells each change.
-/// @return Oldest offset that the log holds; otherwise as LogClient::read().
-Result<Offset> readHistory(LogClient &log, const std::function<void(HistoryItem)> &tell);
+/// Replays all records of the configuration stream that the log still holds and calls `onChange`
+/// with each change.
+/// @return Oldest offset that the log holds; errors as LogClient::read() and replayBatch().
+Result<Offset> readHistory(LogClient &log, const std::function<void(HistoryItem)> &onChange);
 
-/// The configuration as it was at a version.
-/// @return NotFound when the version is not among the changes that the log still holds.
+/// Returns the configuration as it was at a version.
+/// @return NotFound if the version is not among the changes that the log still holds.
 Result<ConfigState> readStateAt(LogClient &log, Offset version);
 
 } // namespace wisteria
--- a/Source/Process/ConfigFollower.cpp
+++ b/Source/Process/ConfigFollower.cpp
@@ -19,8 +19,8 @@
 
     Result<bool> poll(milliseconds wait)
     {
-        // While records are known to stand there, or nothing was read yet, there is no point in a
-        // wait; an empty log would otherwise hold up a start.
+        // Waits only if the log is known to hold no further records. The first read does not wait,
+        // because an empty log would otherwise delay the start of the process.
         const bool atEnd = cursor_.endAtStart && nextOffset(cursor_) >= cursor_.end;
         auto batch = log_.read(stream_, nextOffset(cursor_), atEnd ? wait : milliseconds(0));
         if (!batch) {
@@ -32,9 +32,9 @@
         if (cursor_.diverged && !divergedBefore)
             logger_->error("a snapshot in the log differs from what replay gave; compare releases");
         publish(true);
-        // Failure guarded against: a record that can't be judged stays the next one to read, and
-        // the log has it ready at once; a caller without a pause would read it in a loop at full
-        // speed. As an error, callers pause before the next try.
+        // A record that can't be replayed stays the next one to read, and the log returns it
+        // immediately, so a caller without a delay would read it in a busy loop. The error makes
+        // callers wait before they retry.
         if (moved && !cursor_.blocked.empty())
             return failure(ErrorKind::Conflict, cursor_.blocked);
         return moved;
@@ -83,8 +83,9 @@
     }
 
 private:
-    /// Copying the whole state costs milliseconds at thousands of objects, so it is done once a
-    /// poll and only when something was replayed.
+    /// Makes the state available to other threads. A copy of the whole state takes milliseconds at
+    /// thousands of objects, so it is made at most once per poll and only after records were
+    /// replayed.
     void publish(bool reachable)
     {
         std::shared_ptr<const ConfigState> fresh;
--- a/Source/Process/ConfigReader.cpp
+++ b/Source/Process/ConfigReader.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-/// How long the log holds a read open when nothing is new. Long, so that thousands of processes at
-/// rest ask it a few hundred times a second.
+/// How long the log holds a read open while there are no new records. It is long so that thousands
+/// of idle processes send the log only a few hundred reads per second.
 constexpr milliseconds logWait(5000);
-/// Pause after the log gave no answer.
-constexpr milliseconds retryPause(200);
+/// Delay after a failed poll.
+constexpr milliseconds retryDelay(200);
 
 } // namespace
 
@@ -43,7 +43,7 @@
     void offer(v1::SnapshotRecord snapshot)
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        // Only the newest offer matters, and the queue stays bounded.
+        // Only the newest offer is kept, so memory stays bounded.
         offered_ = std::move(snapshot);
         wake_.notify_all();
     }
@@ -56,20 +56,20 @@
             noteReachable(follower_.status().logReachable);
             if (const auto snapshot = takeOffer())
                 follower_.adopt(*snapshot);
-            handOn();
+            publishState();
             if (moved.has_error())
-                pause();
+                waitBeforeRetry();
         }
     }
 
-    void handOn()
+    void publishState()
     {
         if (!follower_.usable())
             return;
         auto state = follower_.state();
-        if (handedOn_ && *handedOn_ == state->version)
+        if (publishedVersion_ && *publishedVersion_ == state->version)
             return;
-        handedOn_ = state->version;
+        publishedVersion_ = state->version;
         loggerFor("config")->info("Version {} is in force.", state->version);
         changed_(std::move(state));
     }
@@ -97,17 +97,17 @@
         return std::exchange(offered_, std::nullopt);
     }
 
-    void pause()
+    void waitBeforeRetry()
     {
         std::unique_lock<std::mutex> lock(mutex_);
-        wake_.wait_for(lock, retryPause, [this] { return stopping_ || offered_.has_value(); });
+        wake_.wait_for(lock, retryDelay, [this] { return stopping_ || offered_.has_value(); });
     }
 
     LogClient &log_;
     ConfigFollower &follower_;
     Changed changed_;
     bool reachable_ = true;
-    std::optional<Offset> handedOn_;
+    std::optional<Offset> publishedVersion_;
     std::mutex mutex_;
     std::condition_variable wake_;
     bool stopping_ = false;
--- a/Source/Process/ConfigReader.h
+++ b/Source/Process/ConfigReader.h
@@ -8,25 +8,26 @@
 
 namespace wisteria {
 
-/// Follows the configuration on a thread of its own, since waiting for the log blocks, and hands on
-/// each state.
+/// Follows the configuration on a separate thread, since waiting for the log blocks, and passes
+/// each new version to a callback.
 class ConfigReader
 {
 public:
     using Changed = std::function<void(std::shared_ptr<const ConfigState>)>;
 
-    /// @param log What the follower reads; interrupted when the reader stops. Outlives the reader.
-    /// @param follower Outlives the reader; only the reader's thread polls it.
-    /// @param changed Called on the reader's thread, first when the state is usable and then for
-    /// each new version.
+    /// @param log Log client of the follower; interrupted when the reader stops. Must outlive the
+    /// reader.
+    /// @param follower Must outlive the reader; only the reader's thread polls it.
+    /// @param changed Called on the reader's thread, first when the state becomes usable and then
+    /// for each new version.
     ConfigReader(LogClient &log, ConfigFollower &follower, Changed changed);
 
-    /// Stops and waits for the thread, about a second at most.
+    /// Stops the thread and waits for it, about a second at most.
     ~ConfigReader();
     ConfigReader(const ConfigReader &) = delete;
     ConfigReader &operator=(const ConfigReader &) = delete;
 
-    /// Offers a peer's state. Any thread may call it.
+    /// Offers a peer's state, which is adopted after the current poll if it is newer. Thread-safe.
     void offer(v1::SnapshotRecord snapshot);
 
 private:
--- a/Source/Process/FleetProbe.cpp
+++ b/Source/Process/FleetProbe.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Connections open at once; keeps an admin within the usual limit of descriptors.
-constexpr std::size_t addressesAtOnce = 256;
+/// Maximum number of open connections; keeps an admin within the usual file descriptor limit.
+constexpr std::size_t maxConnections = 256;
 
-/// Keeps the one message that a call without streaming is answered with.
+/// Stores the last message of a stream, which for a unary call is the answer.
 class AnswerCollector : public PeerStreamHandler
 {
 public:
@@ -25,7 +25,7 @@
 
     void streamClosed(const StreamEnd &) override
     {
-        // Frames carry their length, so what was received is whole though the stream may be cut.
+        // Frames carry their length, so a received frame is complete even if the stream broke off.
         answer_ = std::move(received_);
         done_();
     }
@@ -36,10 +36,10 @@
     std::function<void()> done_;
 };
 
-/// Sends one message to each address and collects what comes back in time.
-void askEach(const std::vector<std::string> &addresses, const std::string &path,
-             const std::string &frame, milliseconds timeout,
-             std::vector<std::optional<std::string>> &answers)
+/// Sends one message to each address and collects the answers that arrive before the timeout.
+void callBatch(const std::vector<std::string> &addresses, const std::string &path,
+               const std::string &frame, milliseconds timeout,
+               std::vector<std::optional<std::string>> &answers)
 {
     EventLoop loop;
     std::size_t open = 0;
@@ -61,20 +61,21 @@
     loop.run();
 }
 
-std::vector<std::optional<std::string>> askAll(const std::vector<std::string> &addresses,
-                                               const std::string &path,
-                                               const google::protobuf::MessageLite &message,
-                                               milliseconds timeout)
+/// Sends one message to each address, in batches of `maxConnections`.
+std::vector<std::optional<std::string>> callAll(const std::vector<std::string> &addresses,
+                                                const std::string &path,
+                                                const google::protobuf::MessageLite &message,
+                                                milliseconds timeout)
 {
     std::string frame;
     appendFrame(frame, message);
     std::vector<std::optional<std::string>> all;
-    for (std::size_t from = 0; from < addresses.size(); from += addressesAtOnce) {
-        const std::size_t to = std::min(addresses.size(), from + addressesAtOnce);
+    for (std::size_t from = 0; from < addresses.size(); from += maxConnections) {
+        const std::size_t to = std::min(addresses.size(), from + maxConnections);
         std::vector<std::optional<std::string>> answers;
-        askEach({addresses.begin() + static_cast<std::ptrdiff_t>(from),
-                 addresses.begin() + static_cast<std::ptrdiff_t>(to)},
-                path, frame, timeout, answers);
+        callBatch({addresses.begin() + static_cast<std::ptrdiff_t>(from),
+                   addresses.begin() + static_cast<std::ptrdiff_t>(to)},
+                  path, frame, timeout, answers);
         all.insert(all.end(), answers.begin(), answers.end());
     }
     return all;
@@ -85,7 +86,7 @@
 std::vector<ProbeResult> probeFleet(const std::vector<std::string> &addresses,
                                     const v1::Heartbeat &own, milliseconds timeout)
 {
-    const auto answers = askAll(addresses, "/v1/heartbeat", own, timeout);
+    const auto answers = callAll(addresses, "/v1/heartbeat", own, timeout);
     std::vector<ProbeResult> results;
     for (std::size_t i = 0; i < addresses.size(); ++i) {
         ProbeResult result{addresses[i], std::nullopt};
@@ -104,7 +105,7 @@
     v1::ConfigFetch fetch;
     fetch.set_newer_than(newerThan);
     std::optional<v1::SnapshotRecord> newest;
-    for (const auto &answer : askAll(addresses, "/v1/config", fetch, timeout)) {
+    for (const auto &answer : callAll(addresses, "/v1/config", fetch, timeout)) {
         v1::ConfigFetchReply reply;
         if (!answer || !reply.ParseFromString(*answer) || !reply.has_snapshot())
             continue;
--- a/Source/Process/FleetProbe.h
+++ b/Source/Process/FleetProbe.h
@@ -9,23 +9,24 @@
 
 namespace wisteria {
 
-/// What one process said of itself when it was asked.
+/// Heartbeat of one probed process.
 struct ProbeResult
 {
     std::string address;
-    /// Nothing when no whole answer came in time.
+    /// Nothing if no complete answer arrived before the timeout.
     std::optional<v1::Heartbeat> heartbeat;
 };
 
-/// Asks processes of the system for a sign of life, all at once, and waits for the answers. Keeps
-/// no connection between calls, so that an admin that nobody asks costs the fleet nothing.
-/// @param own What the asker says of itself.
+/// Requests a heartbeat from processes, up to 256 in parallel, and waits for the answers. Keeps no
+/// connections between calls, so that an idle admin puts no load on the fleet.
+/// @param own Heartbeat of the calling process, which is sent along.
+/// @param timeout For each batch of 256 addresses.
 /// @return One result for each address, in the same order.
 std::vector<ProbeResult> probeFleet(const std::vector<std::string> &addresses,
                                     const v1::Heartbeat &own, milliseconds timeout);
 
-/// Asks peers for a configuration of a version above `newerThan`.
-/// @return The one with the highest `as_of` among those that answered; nothing when none is newer.
+/// Requests a configuration of a version above `newerThan` from peers.
+/// @return The one with the highest `as_of` among the answers; nothing if none is newer.
 std::optional<v1::SnapshotRecord> fetchConfigFromPeers(const std::vector<std::string> &addresses,
                                                        std::uint64_t newerThan,
                                                        milliseconds timeout);
--- a/Source/Programs/Ctl/CtlCommands.cpp
+++ b/Source/Programs/Ctl/CtlCommands.cpp
@@ -342,7 +342,7 @@
     const auto former = list(session, v1::OBJECT_KIND_UNSPECIFIED, *version, status);
     if (!former)
         return reportStatus(session, status);
-    v1::ChangeRecord change = changeBackTo(byKey(former.value()), byKey(present.value()));
+    v1::ChangeRecord change = revertingChange(byKey(former.value()), byKey(present.value()));
     change.set_restores_version(*version);
     change.set_base_position(present.value().position());
     if (change.changes().empty()) {
--- a/Source/Request/AdmissionConfiguration.cpp
+++ b/Source/Request/AdmissionConfiguration.cpp
@@ -2,7 +2,7 @@
 
 #include "Request/AttemptQueue.h"
 #include "Request/KeyHashing.h"
-#include "Version/ConfigJudge.h"
+#include "Version/ChangeValidation.h"
 
 namespace wisteria {
 
--- a/Source/Version/ConfigCheck.cpp
+++ b/Source/Version/ConfigCheck.cpp
@@ -13,7 +13,7 @@
 
 using boost::outcome_v2::success;
 
-auto bad(const std::string &what, const std::string &remedy)
+auto badInput(const std::string &what, const std::string &remedy)
 {
     return failure(ErrorKind::BadInput, what + "; " + remedy);
 }
@@ -36,12 +36,13 @@
 {
     if (isName(key.name))
         return success();
-    return bad(describeKey(key) + " is not a name",
-               "use up to 63 lower-case letters, digits, '-', '_' and '.', beginning with a letter "
-               "or digit");
+    return badInput(
+        describeKey(key) + " is not a name",
+        "use up to 63 lower-case letters, digits, '-', '_' and '.', beginning with a letter "
+        "or digit");
 }
 
-/// Whether the text is an IP number and a port, "127.0.0.1:7001" or "[::1]:7001".
+/// Whether the text is an IP address and a port, "127.0.0.1:7001" or "[::1]:7001".
 bool isAddress(const std::string &text)
 {
     const std::size_t colon = text.rfind(':');
@@ -60,13 +61,14 @@
     return inet_pton(AF_INET, host.c_str(), &ignored) == 1;
 }
 
-/// Whether a number is a weight: finite and not below zero.
+/// Whether a number is a valid weight: finite and not negative.
 bool isWeight(double value)
 {
     return std::isfinite(value) && value >= 0;
 }
 
-std::string entry(const std::string &owner, const char *field, double value)
+/// "service 'lookup' has retry_ratio 1.5", without trailing zeros.
+std::string describeField(const std::string &owner, const char *field, double value)
 {
     std::string number = std::to_string(value);
     number.erase(number.find_last_not_of('0') + 1);
@@ -80,8 +82,8 @@
 {
     if (value >= low && value <= high)
         return success();
-    return bad(owner + " has " + field + " " + std::to_string(value),
-               "give a number from " + std::to_string(low) + " to " + std::to_string(high));
+    return badInput(owner + " has " + field + " " + std::to_string(value),
+                    "give a number from " + std::to_string(low) + " to " + std::to_string(high));
 }
 
 Result<void> checkExpertSpread(const std::string &owner, const v1::ExpertSpread &spread)
@@ -93,15 +95,15 @@
                                  spread.experts()));
     const std::uint64_t slots = std::uint64_t(spread.ranks()) * spread.slots_per_rank();
     if (slots < spread.experts()) {
-        return bad(owner + " has " + std::to_string(slots) + " slots for "
-                       + std::to_string(spread.experts()) + " experts",
-                   "raise ranks or slots_per_rank until each expert has a slot");
+        return badInput(owner + " has " + std::to_string(slots) + " slots for "
+                            + std::to_string(spread.experts()) + " experts",
+                        "raise ranks or slots_per_rank until each expert has a slot");
     }
     if (!isWeight(spread.skew_weight()) || !isWeight(spread.cost_weight()))
-        return bad(owner + " has a skew_weight or cost_weight below zero", "give 0 or more");
+        return badInput(owner + " has a skew_weight or cost_weight below zero", "give 0 or more");
     if (spread.skew_weight() + spread.cost_weight() <= 0) {
-        return bad(owner + " has skew_weight and cost_weight that sum to nothing",
-                   "give at least one of them a value above 0");
+        return badInput(owner + " has skew_weight and cost_weight that sum to nothing",
+                        "give at least one of them a value above 0");
     }
     return success();
 }
@@ -124,20 +126,20 @@
 {
     const std::string owner = describeKey({v1::OBJECT_KIND_BACKEND_SERVER, server.name()});
     if (!isAddress(server.agent_address())) {
-        return bad(owner + " has agent_address '" + server.agent_address() + "'",
-                   "give the agent's IP number and port, such as 10.0.0.7:7001");
+        return badInput(owner + " has agent_address '" + server.agent_address() + "'",
+                        "give the agent's IP number and port, such as 10.0.0.7:7001");
     }
     if (server.failure_domain().size() > limits::nameLength
         || server.vm().size() > limits::nameLength) {
-        return bad(owner + " has a vm or failure_domain longer than 63 characters",
-                   "use the platform's own short names");
+        return badInput(owner + " has a vm or failure_domain longer than 63 characters",
+                        "use the platform's own short names");
     }
     if (server.failure_domain().empty()) {
-        return bad(owner + " names no failure_domain",
-                   "name the one its VM is in, so that requests are spread over all of them");
+        return badInput(owner + " names no failure_domain",
+                        "name the one its VM is in, so that requests are spread over all of them");
     }
     if (server.vm().empty())
-        return bad(owner + " names no vm", "give the VM's name in the platform's list");
+        return badInput(owner + " names no vm", "give the VM's name in the platform's list");
     return checkRange(owner, "concurrency", server.concurrency(), 1, limits::concurrency);
 }
 
@@ -146,29 +148,29 @@
     const std::string owner = describeKey({v1::OBJECT_KIND_ORGANISATION, organisation.name()});
     const double rate = organisation.requests_per_second();
     if (!std::isfinite(rate) || rate < 0 || rate > limits::requestsPerSecond)
-        return bad(entry(owner, "requests_per_second", rate),
-                   "give a number above 0, up to 1000000");
+        return badInput(describeField(owner, "requests_per_second", rate),
+                        "give a number above 0, up to 1000000");
     if (rate == 0) {
-        return bad(owner + " has a quota of 0 requests_per_second",
-                   "give its real rate; to shut an organisation out, remove it");
+        return badInput(owner + " has a quota of 0 requests_per_second",
+                        "give its real rate; to shut an organisation out, remove it");
     }
     BOOST_OUTCOME_TRY(
         checkRange(owner, "concurrency", organisation.concurrency(), 1, limits::concurrency * 10));
     if (organisation.burst() == 0) {
-        return bad(owner + " has burst 0, with which no request is ever admitted",
-                   "give at least 1; a second's worth of requests is usual");
+        return badInput(owner + " has burst 0, with which no request is ever admitted",
+                        "give at least 1; a second's worth of requests is usual");
     }
     if (organisation.burst() > std::max(1.0, rate * limits::burstSeconds)) {
-        return bad(owner + " has burst " + std::to_string(organisation.burst())
-                       + ", more than ten minutes of its requests_per_second",
-                   "lower burst or raise requests_per_second, the two contradict each other");
+        return badInput(owner + " has burst " + std::to_string(organisation.burst())
+                            + ", more than ten minutes of its requests_per_second",
+                        "lower burst or raise requests_per_second, the two contradict each other");
     }
     BOOST_OUTCOME_TRY(
         checkRange(owner, "max_priority", organisation.max_priority(), 0, limits::priority));
     std::set<std::string> services;
     for (const std::string &service : organisation.services()) {
         if (!services.insert(service).second)
-            return bad(owner + " lists service '" + service + "' twice", "list it once");
+            return badInput(owner + " lists service '" + service + "' twice", "list it once");
     }
     return success();
 }
@@ -181,50 +183,53 @@
     double sum = 0;
     for (const double weight : weights) {
         if (!isWeight(weight))
-            return bad(owner + " has a weight that is below zero or no number", "give 0 or more");
+            return badInput(owner + " has a weight that is below zero or no number",
+                            "give 0 or more");
         sum += weight;
     }
     if (sum <= 0) {
-        return bad(owner + " has weights that sum to nothing",
-                   "give load_weight, affinity_weight or domain_weight a value above 0");
+        return badInput(owner + " has weights that sum to nothing",
+                        "give load_weight, affinity_weight or domain_weight a value above 0");
     }
     if (!isWeight(policy.retry_ratio()) || policy.retry_ratio() > 1)
-        return bad(entry(owner, "retry_ratio", policy.retry_ratio()), "give a number from 0 to 1");
+        return badInput(describeField(owner, "retry_ratio", policy.retry_ratio()),
+                        "give a number from 0 to 1");
     BOOST_OUTCOME_TRY(
         checkRange(owner, "max_attempts", policy.max_attempts(), 1, limits::attempts));
     if (policy.max_attempts() == 1 && policy.retry_ratio() > 0) {
-        return bad(owner + " allows retries by retry_ratio but only 1 attempt",
-                   "raise max_attempts, or set retry_ratio to 0");
+        return badInput(owner + " allows retries by retry_ratio but only 1 attempt",
+                        "raise max_attempts, or set retry_ratio to 0");
     }
     if (policy.max_attempts() > 1 && policy.retry_ratio() == 0) {
-        return bad(owner + " allows " + std::to_string(policy.max_attempts())
-                       + " attempts but a retry_ratio of 0",
-                   "raise retry_ratio, or set max_attempts to 1");
+        return badInput(owner + " allows " + std::to_string(policy.max_attempts())
+                            + " attempts but a retry_ratio of 0",
+                        "raise retry_ratio, or set max_attempts to 1");
     }
     if (policy.subset_size() == 1) {
-        return bad(owner + " has subset_size 1, with which one dead backend server stops an entry",
-                   "give 0 for all, or at least 2");
+        return badInput(
+            owner + " has subset_size 1, with which one dead backend server stops an entry",
+            "give 0 for all, or at least 2");
     }
     return success();
 }
 
-std::string needs(const ObjectKey &user, const ObjectKey &used)
+std::string describeReference(const ObjectKey &user, const ObjectKey &used)
 {
     return describeKey(user) + " uses " + describeKey(used);
 }
 
-Result<void> checkKnown(const ConfigView &after, const ObjectKey &user, const ObjectKey &used)
+Result<void> checkExists(const ConfigView &after, const ObjectKey &user, const ObjectKey &used)
 {
     if (after.find(used) != nullptr)
         return success();
     return failure(ErrorKind::Conflict,
-                   needs(user, used)
+                   describeReference(user, used)
                        + ", which does not exist; correct the name, or create it in "
                          "the same change");
 }
 
-/// Names that one object uses.
-std::vector<ObjectKey> usedBy(const v1::Object &object)
+/// Keys of the objects that one object references.
+std::vector<ObjectKey> referencesOf(const v1::Object &object)
 {
     std::vector<ObjectKey> used;
     if (object.has_service() && !object.service().routing_policy().empty())
@@ -238,14 +243,14 @@
     return used;
 }
 
-/// Refuses to remove what another object still uses.
+/// Refuses a change that removes an object which another object still references.
 Result<void> checkNotUsed(const ConfigView &after, const std::set<ObjectKey> &removed)
 {
     std::optional<std::string> problem;
     const auto visit = [&](const v1::Object &object) {
-        for (const ObjectKey &used : usedBy(object)) {
+        for (const ObjectKey &used : referencesOf(object)) {
             if (!problem && removed.contains(used))
-                problem = needs(keyOf(object), used);
+                problem = describeReference(keyOf(object), used);
         }
     };
     after.forEach(v1::OBJECT_KIND_SERVICE, visit);
@@ -277,12 +282,13 @@
                    *problem + "; give each backend server its own agent's address");
 }
 
+/// Refuses a change that moves an existing backend server to another service.
 Result<void> checkSameService(const ConfigState &before, const v1::Object &after)
 {
-    const auto held = before.objects.find(keyOf(after));
-    if (!after.has_backend_server() || held == before.objects.end())
+    const auto existing = before.objects.find(keyOf(after));
+    if (!after.has_backend_server() || existing == before.objects.end())
         return success();
-    const std::string &was = held->second.object().backend_server().service();
+    const std::string &was = existing->second.object().backend_server().service();
     if (was == after.backend_server().service())
         return success();
     return failure(ErrorKind::Conflict,
@@ -297,38 +303,40 @@
 {
     const std::size_t idLength = change.change_id().size();
     if (idLength < limits::changeIdLengthMin || idLength > limits::changeIdLength)
-        return bad("the change id is " + std::to_string(idLength) + " characters long",
-                   "give 8 to 64, a UUID is usual");
+        return badInput("the change id is " + std::to_string(idLength) + " characters long",
+                        "give 8 to 64, a UUID is usual");
     if (change.who().empty())
-        return bad("the change does not say who makes it", "give the operator's name with --who");
+        return badInput("the change does not say who makes it",
+                        "give the operator's name with --who");
     if (change.who().size() > limits::nameLength)
-        return bad("the operator's name is longer than 63 characters", "shorten it");
+        return badInput("the operator's name is longer than 63 characters", "shorten it");
     if (change.why().empty())
-        return bad("the change does not say why", "give the reason with --why");
+        return badInput("the change does not say why", "give the reason with --why");
     if (change.why().size() > limits::whyLength)
-        return bad("the reason is longer than 400 characters", "shorten it or name a ticket");
+        return badInput("the reason is longer than 400 characters", "shorten it or name a ticket");
     if (change.cancel())
         return success();
     if (change.changes().empty())
-        return bad("the change is empty", "list at least one object");
+        return badInput("the change is empty", "list at least one object");
     if (change.changes_size() > limits::changesPerRecord)
-        return bad("the change touches " + std::to_string(change.changes_size()) + " objects",
-                   "split it into changes of at most 10000");
+        return badInput("the change touches " + std::to_string(change.changes_size()) + " objects",
+                        "split it into changes of at most 10000");
     std::set<ObjectKey> keys;
     for (const v1::ObjectChange &entry : change.changes()) {
         const ObjectKey key{entry.kind(), entry.name()};
         if (key.kind < v1::OBJECT_KIND_SERVICE || key.kind > v1::OBJECT_KIND_ROUTING_POLICY)
-            return bad("an entry of the change has no known kind", "upgrade wisteriactl");
+            return badInput("an entry of the change has no known kind", "upgrade wisteriactl");
         BOOST_OUTCOME_TRY(checkName(key));
         if (!keys.insert(key).second)
-            return bad(describeKey(key) + " occurs twice in one change", "keep one of the two");
+            return badInput(describeKey(key) + " occurs twice in one change",
+                            "keep one of the two");
         if (entry.remove() == entry.has_content())
-            return bad(describeKey(key) + " must be either set or removed",
-                       "give content or remove, not both");
+            return badInput(describeKey(key) + " must be either set or removed",
+                            "give content or remove, not both");
         if (!entry.remove() && keyOf(entry.content()) != key)
-            return bad(describeKey(key) + " carries the content of "
-                           + describeKey(keyOf(entry.content())),
-                       "make name and content agree");
+            return badInput(describeKey(key) + " carries the content of "
+                                + describeKey(keyOf(entry.content())),
+                            "make name and content agree");
     }
     return success();
 }
@@ -344,8 +352,8 @@
         return checkOrganisation(object.organisation());
     if (object.has_routing_policy())
         return checkRoutingPolicy(object.routing_policy());
-    return bad("an object has no content",
-               "give a service, backend server, organisation or policy");
+    return badInput("an object has no content",
+                    "give a service, backend server, organisation or policy");
 }
 
 Result<void> checkReferences(const ConfigState &before, const v1::ChangeRecord &change)
@@ -360,8 +368,8 @@
         }
         touchesBackendServers |= entry.kind() == v1::OBJECT_KIND_BACKEND_SERVER;
         BOOST_OUTCOME_TRY(checkSameService(before, entry.content()));
-        for (const ObjectKey &used : usedBy(entry.content())) {
-            BOOST_OUTCOME_TRY(checkKnown(after, {entry.kind(), entry.name()}, used));
+        for (const ObjectKey &used : referencesOf(entry.content())) {
+            BOOST_OUTCOME_TRY(checkExists(after, {entry.kind(), entry.name()}, used));
         }
     }
     if (!removed.empty()) {
--- a/Source/Version/ConfigCheck.h
+++ b/Source/Version/ConfigCheck.h
@@ -8,7 +8,7 @@
 namespace wisteria {
 
 /// Bounds of what an operator may declare. They are part of the rules: a change to one needs a new
-/// rules version, or readers of different releases would judge one record differently.
+/// rules version, or readers of different releases would reach different verdicts on one record.
 namespace limits {
 inline constexpr std::size_t nameLength = 63;
 inline constexpr std::size_t whyLength = 400;
@@ -27,16 +27,19 @@
 inline constexpr double burstSeconds = 600;
 } // namespace limits
 
-/// Checks what can be seen of a change without any state: identity, names, one entry an object.
+/// Checks the parts of a change that need no state: change id, operator, reason, names, and that
+/// each object occurs once.
 /// @return BadInput with the remedy.
 Result<void> checkShape(const v1::ChangeRecord &change);
 
-/// Checks one object by itself: numbers in bounds, limits that don't contradict each other.
+/// Checks one object without the rest of the configuration: numbers are in bounds and limits don't
+/// contradict each other.
 /// @return BadInput with the remedy.
 Result<void> checkObject(const v1::Object &object);
 
-/// Checks the changed objects against the rest of the configuration: names that must exist, names
-/// that are still needed, addresses used twice.
+/// Checks the changed objects against the rest of the configuration: referenced objects exist,
+/// removed objects are not referenced any more, agent addresses are unique, and no backend server
+/// moves to another service.
 /// @return Conflict with the remedy.
 Result<void> checkReferences(const ConfigState &before, const v1::ChangeRecord &change);
 
--- a/Source/Version/ConfigEffect.cpp
+++ b/Source/Version/ConfigEffect.cpp
@@ -13,9 +13,10 @@
 
 namespace {
 
-/// A change that leaves less than this share of a capacity or quota needs a confirmation.
-constexpr double keptShare = 0.5;
+/// A change that leaves less than this fraction of a capacity or quota needs a confirmation.
+constexpr double minRemainingFraction = 0.5;
 
+/// Sum of the concurrency of each service's backend servers that are not draining.
 std::map<std::string, std::uint64_t> capacityByService(const ConfigView &view)
 {
     std::map<std::string, std::uint64_t> capacity;
@@ -27,8 +28,8 @@
     return capacity;
 }
 
-void capacityEffects(const ConfigState &state, const v1::ChangeRecord &change,
-                     std::vector<std::string> &effects)
+void addCapacityEffects(const ConfigState &state, const v1::ChangeRecord &change,
+                        std::vector<std::string> &effects)
 {
     const auto touches = [](const v1::ObjectChange &entry) {
         return entry.kind() == v1::OBJECT_KIND_BACKEND_SERVER;
@@ -43,7 +44,7 @@
         if (is == 0) {
             effects.push_back("service '" + service
                               + "' is left without a backend server in service");
-        } else if (static_cast<double>(is) < keptShare * static_cast<double>(was)) {
+        } else if (static_cast<double>(is) < minRemainingFraction * static_cast<double>(was)) {
             effects.push_back("service '" + service
                               + "' loses more than half of its capacity, from " + numbers
                               + " requests at once");
@@ -51,40 +52,40 @@
     }
 }
 
-void quotaEffect(const std::string &owner, const char *field, double was, double is,
-                 std::vector<std::string> &effects)
+void addQuotaEffect(const std::string &owner, const char *field, double was, double is,
+                    std::vector<std::string> &effects)
 {
-    if (is < keptShare * was)
+    if (is < minRemainingFraction * was)
         effects.push_back(owner + " loses more than half of its " + field);
 }
 
-void accessEffect(const v1::Organisation &was, const v1::Organisation &is,
-                  std::vector<std::string> &effects)
+void addAccessEffects(const v1::Organisation &was, const v1::Organisation &is,
+                      std::vector<std::string> &effects)
 {
     if (is.services().empty())
         return;
     const std::string owner = "organisation '" + is.name() + "'";
-    const std::set<std::string> kept(is.services().begin(), is.services().end());
+    const std::set<std::string> stillAllowed(is.services().begin(), is.services().end());
     if (was.services().empty())
         effects.push_back(owner + " is cut off from every service that it does not list");
     for (const std::string &service : was.services()) {
-        if (!kept.contains(service))
+        if (!stillAllowed.contains(service))
             effects.push_back(owner + " is cut off from service '" + service + "'");
     }
 }
 
-void organisationEffects(const v1::Organisation &was, const v1::Organisation &is,
-                         std::vector<std::string> &effects)
+void addOrganisationEffects(const v1::Organisation &was, const v1::Organisation &is,
+                            std::vector<std::string> &effects)
 {
     const std::string owner = "organisation '" + is.name() + "'";
-    quotaEffect(owner, "requests_per_second", was.requests_per_second(), is.requests_per_second(),
-                effects);
-    quotaEffect(owner, "concurrency", was.concurrency(), is.concurrency(), effects);
-    accessEffect(was, is, effects);
+    addQuotaEffect(owner, "requests_per_second", was.requests_per_second(),
+                   is.requests_per_second(), effects);
+    addQuotaEffect(owner, "concurrency", was.concurrency(), is.concurrency(), effects);
+    addAccessEffects(was, is, effects);
 }
 
-void objectEffects(const ConfigState &state, const v1::ObjectChange &entry,
-                   std::vector<std::string> &effects)
+void addObjectEffects(const ConfigState &state, const v1::ObjectChange &entry,
+                      std::vector<std::string> &effects)
 {
     const ObjectKey key{entry.kind(), entry.name()};
     const auto removed = state.removed.find(key);
@@ -92,16 +93,16 @@
         effects.push_back(describeKey(key) + " comes back after version "
                           + std::to_string(removed->second) + " removed it");
     }
-    const auto held = state.objects.find(key);
-    if (held == state.objects.end())
+    const auto existing = state.objects.find(key);
+    if (existing == state.objects.end())
         return;
     const bool cutsOff =
         key.kind == v1::OBJECT_KIND_SERVICE || key.kind == v1::OBJECT_KIND_ORGANISATION;
     if (entry.remove() && cutsOff)
         effects.push_back(describeKey(key) + " is removed and its callers are cut off");
     if (!entry.remove() && key.kind == v1::OBJECT_KIND_ORGANISATION) {
-        organisationEffects(held->second.object().organisation(), entry.content().organisation(),
-                            effects);
+        addOrganisationEffects(existing->second.object().organisation(),
+                               entry.content().organisation(), effects);
     }
 }
 
@@ -127,9 +128,9 @@
 ChangeEffects effectsOf(const ConfigState &state, const v1::ChangeRecord &change)
 {
     ChangeEffects effects;
-    capacityEffects(state, change, effects.farReaching);
+    addCapacityEffects(state, change, effects.farReaching);
     for (const v1::ObjectChange &entry : change.changes())
-        objectEffects(state, entry, effects.farReaching);
+        addObjectEffects(state, entry, effects.farReaching);
     if (!effects.farReaching.empty())
         effects.digest = digestOf(change, effects.farReaching);
     return effects;
--- a/Source/Version/ConfigEffect.h
+++ b/Source/Version/ConfigEffect.h
@@ -7,17 +7,18 @@
 
 namespace wisteria {
 
-/// What a change would do to callers and capacity beyond the fields it sets.
+/// Effects of a change on callers and capacity, beyond the fields that it sets.
 struct ChangeEffects
 {
-    /// Sentences for people, in a fixed order.
+    /// One sentence for operators per far-reaching effect, in a fixed order.
     std::vector<std::string> farReaching;
-    /// Confirms a far-reaching change. Depends on the change and on these effects, so that a
-    /// confirmation is void once the configuration has moved and the effects differ.
+    /// Digest that the operator repeats to confirm a far-reaching change; empty if there is no such
+    /// effect. It covers the change and its effects, so a confirmation is void once the
+    /// configuration has changed such that the effects differ.
     std::string digest;
 };
 
-/// Works out the effects of a change on a state.
+/// Returns the far-reaching effects of a change on a state.
 ChangeEffects effectsOf(const ConfigState &state, const v1::ChangeRecord &change);
 
 } // namespace wisteria
--- a/Source/Version/ConfigFile.cpp
+++ b/Source/Version/ConfigFile.cpp
@@ -69,19 +69,20 @@
     }
 }
 
-Result<v1::Object> parseObject(const Json &entry, const Section &section, const std::string &place)
+Result<v1::Object> parseObject(const Json &entry, const Section &section,
+                               const std::string &location)
 {
     v1::Object object;
     const auto status =
         google::protobuf::util::JsonStringToMessage(entry.dump(), contentOf(object, section.kind));
     if (!status.ok()) {
         return failure(ErrorKind::BadSettings,
-                       place + ": " + std::string(status.message())
+                       location + ": " + std::string(status.message())
                            + "; docs/operators/configuration.md lists the fields of a "
                            + kindName(section.kind));
     }
     if (keyOf(object).name.empty())
-        return failure(ErrorKind::BadSettings, place + ": has no name; give it a \"name\"");
+        return failure(ErrorKind::BadSettings, location + ": has no name; give it a \"name\"");
     return object;
 }
 
@@ -113,12 +114,13 @@
     entry.set_remove(true);
 }
 
-/// Version that the file was written against: the present one if the file can have known it.
-Offset knownVersion(const std::optional<Offset> &asOf, Offset present)
+/// Base version for an object of the file: 0 without `asOf`, else the object's current version, or
+/// `asOf` if the object changed after the file was saved.
+Offset baseVersionOf(const std::optional<Offset> &asOf, Offset current)
 {
     if (!asOf)
         return 0;
-    return present <= *asOf ? present : *asOf;
+    return current <= *asOf ? current : *asOf;
 }
 
 } // namespace
@@ -132,8 +134,8 @@
     for (const Section &section : sections) {
         const Json entries = document.value(section.name, Json::array());
         for (std::size_t i = 0; i < entries.size(); ++i) {
-            const std::string place = name + ": at /" + section.name + "/" + std::to_string(i);
-            BOOST_OUTCOME_TRY(object, parseObject(entries[i], section, place));
+            const std::string location = name + ": at /" + section.name + "/" + std::to_string(i);
+            BOOST_OUTCOME_TRY(object, parseObject(entries[i], section, location));
             file.objects.push_back(std::move(object));
         }
     }
@@ -161,56 +163,56 @@
 {
     std::vector<std::string> mistakes;
     std::set<ObjectKey> keys;
-    const auto note = [&](const ObjectKey &key) {
+    const auto checkUnique = [&](const ObjectKey &key) {
         if (!keys.insert(key).second)
             mistakes.push_back(describeKey(key) + " occurs twice in the file; keep one of the two");
     };
     for (const v1::Object &object : file.objects) {
-        note(keyOf(object));
+        checkUnique(keyOf(object));
         const Result<void> checked = checkObject(object);
         if (!checked)
             mistakes.push_back(checked.error().message);
     }
     for (const ObjectKey &key : file.removals)
-        note(key);
+        checkUnique(key);
     if (keys.empty())
         mistakes.push_back("the file declares nothing; list at least one object");
     return mistakes;
 }
 
 v1::ChangeRecord changeFromFile(const ConfigFile &file,
-                                const std::map<ObjectKey, v1::VersionedObject> &present)
+                                const std::map<ObjectKey, v1::VersionedObject> &current)
 {
     v1::ChangeRecord change;
     change.set_base_position(file.asOf.value_or(0));
     for (const v1::Object &object : file.objects) {
-        const auto held = present.find(keyOf(object));
-        if (held == present.end())
+        const auto existing = current.find(keyOf(object));
+        if (existing == current.end())
             addSet(change, object, 0);
-        else if (!sameContent(held->second.object(), object))
-            addSet(change, object, knownVersion(file.asOf, held->second.version()));
+        else if (!sameContent(existing->second.object(), object))
+            addSet(change, object, baseVersionOf(file.asOf, existing->second.version()));
     }
     for (const ObjectKey &key : file.removals) {
-        const auto held = present.find(key);
-        const Offset version = held == present.end() ? 0 : held->second.version();
-        addRemoval(change, key, file.asOf ? knownVersion(file.asOf, version) : version);
+        const auto existing = current.find(key);
+        const Offset version = existing == current.end() ? 0 : existing->second.version();
+        addRemoval(change, key, file.asOf ? baseVersionOf(file.asOf, version) : version);
     }
     return change;
 }
 
-v1::ChangeRecord changeBackTo(const std::map<ObjectKey, v1::VersionedObject> &former,
-                              const std::map<ObjectKey, v1::VersionedObject> &present)
+v1::ChangeRecord revertingChange(const std::map<ObjectKey, v1::VersionedObject> &previous,
+                                 const std::map<ObjectKey, v1::VersionedObject> &current)
 {
     v1::ChangeRecord change;
-    for (const auto &[key, object] : former) {
-        const auto held = present.find(key);
-        if (held == present.end())
+    for (const auto &[key, object] : previous) {
+        const auto existing = current.find(key);
+        if (existing == current.end())
             addSet(change, object.object(), 0);
-        else if (!sameContent(held->second.object(), object.object()))
-            addSet(change, object.object(), held->second.version());
+        else if (!sameContent(existing->second.object(), object.object()))
+            addSet(change, object.object(), existing->second.version());
     }
-    for (const auto &[key, object] : present) {
-        if (!former.contains(key))
+    for (const auto &[key, object] : current) {
+        if (!previous.contains(key))
             addRemoval(change, key, object.version());
     }
     return change;
--- a/Source/Version/ConfigFile.h
+++ b/Source/Version/ConfigFile.h
@@ -8,38 +8,39 @@
 
 namespace wisteria {
 
-/// What an operator's file declares.
+/// Parsed content of an operator's configuration file.
 struct ConfigFile
 {
-    /// Position of the log that the file was saved at; absent in a file written by hand.
+    /// Log position of the configuration that the file was saved from; absent in a file that was
+    /// written by hand.
     std::optional<Offset> asOf;
     std::vector<v1::Object> objects;
     std::vector<ObjectKey> removals;
 };
 
-/// Parses an operator's file: JSON with comments, the schema's field names, at the top "services",
-/// "backend_servers", "organisations", "routing_policies", "remove" and "as_of".
-/// @param name What messages call the text.
-/// @return BadSettings with the name, the place and the remedy.
+/// Parses an operator's file: JSON with comments and the schema's field names. Its top-level keys
+/// are "services", "backend_servers", "organisations", "routing_policies", "remove" and "as_of".
+/// @param name File name for error messages.
+/// @return BadSettings with the file name, the location in the file and the remedy.
 Result<ConfigFile> parseConfigFile(const std::string &text, const std::string &name);
 
 /// Writes objects as a file that parseConfigFile() reads.
 std::string renderConfigFile(Offset asOf, const std::vector<v1::VersionedObject> &objects);
 
-/// Checks a file by itself, as far as that goes without the configuration in force.
+/// Runs the checks that need no configuration in force.
 /// @return One message for each mistake.
 std::vector<std::string> checkConfigFile(const ConfigFile &file);
 
-/// The change that makes the configuration say what the file says. Objects that the file does not
-/// mention stay as they are, and so do those that already say the same.
+/// Returns the change that applies the file to the current configuration. Objects that the file
+/// does not mention stay as they are, and objects with equal content are left out of the change.
 ///
-/// A file states what it knows: an object that moved on after the file was saved keeps the file's
-/// own position as its base, so that replay refuses the change in place of silently going back.
+/// The base version of an object that changed after the file was saved is the file's log position,
+/// so that replay refuses the change instead of silently reverting the newer one.
 v1::ChangeRecord changeFromFile(const ConfigFile &file,
-                                const std::map<ObjectKey, v1::VersionedObject> &present);
+                                const std::map<ObjectKey, v1::VersionedObject> &current);
 
-/// The change that takes the configuration from `present` back to `former`.
-v1::ChangeRecord changeBackTo(const std::map<ObjectKey, v1::VersionedObject> &former,
-                              const std::map<ObjectKey, v1::VersionedObject> &present);
+/// Returns the change that reverts the configuration from `current` to `previous`.
+v1::ChangeRecord revertingChange(const std::map<ObjectKey, v1::VersionedObject> &previous,
+                                 const std::map<ObjectKey, v1::VersionedObject> &current);
 
 } // namespace wisteria
--- a/Source/Version/ConfigHistory.cpp
+++ b/Source/Version/ConfigHistory.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// The item of a record as far as it is known before the record is replayed.
-std::optional<HistoryItem> itemOf(const ConfigState &state, const LogRecord &record)
+/// Returns a record's history item without its verdict, which is known only after replay; nothing
+/// for a record that is not a change.
+std::optional<HistoryItem> historyItemOf(const ConfigState &state, const LogRecord &record)
 {
     v1::ConfigRecord parsed;
     if (!parsed.ParseFromString(record.data) || !parsed.has_change())
@@ -19,7 +20,7 @@
     return item;
 }
 
-/// The verdict that replay just gave on the record at an offset.
+/// Returns the verdict on an item's record, which has just been replayed.
 ReplayVerdict verdictAt(const ConfigState &state, const HistoryItem &item)
 {
     const auto seen = state.seen.find(item.change.change_id());
@@ -37,8 +38,9 @@
     std::vector<std::string> lines;
     for (const v1::ObjectChange &entry : change.changes()) {
         const ObjectKey key{entry.kind(), entry.name()};
-        const auto held = state.objects.find(key);
-        const v1::Object *before = held == state.objects.end() ? nullptr : &held->second.object();
+        const auto existing = state.objects.find(key);
+        const v1::Object *before =
+            existing == state.objects.end() ? nullptr : &existing->second.object();
         const v1::Object *after = entry.remove() ? nullptr : &entry.content();
         for (std::string &line : differencesOf(key, before, after))
             lines.push_back(std::move(line));
@@ -47,7 +49,7 @@
 }
 
 Result<bool> replayWithHistory(ReplayCursor &cursor, const LogBatch &batch,
-                               const std::function<void(HistoryItem)> &tell)
+                               const std::function<void(HistoryItem)> &onChange)
 {
     const Offset versionBefore = cursor.state.version;
     LogBatch single{{}, batch.first, batch.end};
@@ -56,7 +58,8 @@
     for (const LogRecord &record : batch.records) {
         const bool searching = cursor.searchFrom || batch.first > cursor.state.position + 1;
         const Offset before = cursor.state.position;
-        std::optional<HistoryItem> item = searching ? std::nullopt : itemOf(cursor.state, record);
+        std::optional<HistoryItem> item =
+            searching ? std::nullopt : historyItemOf(cursor.state, record);
         single.records = {record};
         BOOST_OUTCOME_TRY(replayBatch(cursor, single));
         const bool foundSnapshot = searching && !cursor.searchFrom;
@@ -64,7 +67,7 @@
             break;
         if (item && cursor.state.position > before) {
             item->verdict = verdictAt(cursor.state, *item);
-            tell(std::move(*item));
+            onChange(std::move(*item));
         }
     }
     return cursor.state.version != versionBefore;
--- a/Source/Version/ConfigHistory.h
+++ b/Source/Version/ConfigHistory.h
@@ -14,15 +14,18 @@
     Offset offset = 0;
     v1::ChangeRecord change;
     ReplayVerdict verdict;
-    /// Fields that the change set, from what to what; for a refused one, would have set.
+    /// Fields that the change set, with old and new value; for a refused change, those that it
+    /// would have set.
     std::vector<std::string> differences;
 };
 
-/// Replays a batch as replayBatch() does and tells each change that was judged.
+/// Replays a batch as replayBatch() does and calls `onChange` with each change that was accepted or
+/// refused.
+/// @return As replayBatch().
 Result<bool> replayWithHistory(ReplayCursor &cursor, const LogBatch &batch,
-                               const std::function<void(HistoryItem)> &tell);
+                               const std::function<void(HistoryItem)> &onChange);
 
-/// What a change would set on a state, one line a field.
+/// Differences that a change would make to a state, one line per field.
 std::vector<std::string> differencesOf(const ConfigState &state, const v1::ChangeRecord &change);
 
 } // namespace wisteria
--- a/Source/Version/ConfigObject.cpp
+++ b/Source/Version/ConfigObject.cpp
@@ -27,7 +27,7 @@
     {v1::OBJECT_KIND_ROUTING_POLICY, "routing_policy"},
 }};
 
-/// Every field as JSON with the schema's names, unset ones included.
+/// All fields of an object, unset ones included, as flat JSON with the schema's names.
 Json fieldsOf(const v1::Object *object)
 {
     if (object == nullptr)
@@ -55,7 +55,7 @@
     return fields.contains(pointer) ? fields[pointer].dump() : "(none)";
 }
 
-/// "concurrency 8, service "lookup"": the fields that are set, on one line.
+/// The fields that are set, on one line, such as: concurrency 8, service "lookup".
 std::string listOf(const Json &fields)
 {
     std::string list;
--- a/Source/Version/ConfigObject.h
+++ b/Source/Version/ConfigObject.h
@@ -8,27 +8,28 @@
 
 namespace wisteria {
 
-/// Key of an object; kind unspecified when it has no content.
+/// Key of an object; its kind is unspecified if the object has no content.
 ObjectKey keyOf(const v1::Object &object);
 
 /// "service", "backend_server", "organisation" or "routing_policy"; "object" if unspecified.
 std::string kindName(v1::ObjectKind kind);
 
-/// The kind that kindName() calls so.
+/// Inverse of kindName(); nothing for an unknown name.
 std::optional<v1::ObjectKind> kindFromName(const std::string &name);
 
-/// "service 'lookup'", as messages name an object.
+/// Kind and name of an object for messages, such as "service 'lookup'".
 std::string describeKey(const ObjectKey &key);
 
-/// Whether two objects say the same.
+/// Whether two objects have equal kinds and fields.
 bool sameContent(const v1::Object &left, const v1::Object &right);
 
-/// One line for each field that differs, "service 'lookup': queue_bound 8 -> 16". Either side may
-/// be null for an object that is created or removed.
+/// One line for each field that differs, such as "service 'lookup': queue_bound 8 -> 16". `before`
+/// is null for an object that is created, `after` for one that is removed.
 std::vector<std::string> differencesOf(const ObjectKey &key, const v1::Object *before,
                                        const v1::Object *after);
 
-/// Digest of what a change would set and remove, whoever sends it and whenever.
+/// Digest of the objects that a change sets and removes. It does not cover the operator, the
+/// reason, the change id or times.
 std::uint64_t contentDigest(const v1::ChangeRecord &change);
 
 } // namespace wisteria
--- a/Source/Version/ConfigReplay.cpp
+++ b/Source/Version/ConfigReplay.cpp
@@ -8,13 +8,13 @@
 
 /// Whether the log still holds each record that follows the snapshot.
 ///
-/// Failure guarded against: a change accepted between a snapshot's as_of and the snapshot's own
-/// offset, whose record has expired. A reader that took the snapshot would miss the change, and
-/// what it superseded would silently return. The check holds because such a change stands at
-/// as_of + 1 or later, so its record is either still held or makes the snapshot unusable.
-bool isUsable(const v1::SnapshotRecord &snapshot, Offset firstHeld)
+/// Guards against a change that was accepted between a snapshot's as_of and the snapshot's own
+/// offset and whose record has expired. A reader that adopted the snapshot would miss the change
+/// and silently restore what it superseded. Such a change has offset as_of + 1 or higher, so the
+/// log either still holds its record or the snapshot is unusable.
+bool isUsable(const v1::SnapshotRecord &snapshot, Offset firstRetained)
 {
-    return snapshot.as_of() + 1 >= firstHeld;
+    return snapshot.as_of() + 1 >= firstRetained;
 }
 
 void searchBatch(ReplayCursor &cursor, const LogBatch &batch)
@@ -46,7 +46,7 @@
     if (!parsed.ParseFromString(record.data) || !parsed.has_snapshot())
         return;
     cursor.newestSnapshot = std::max<Offset>(cursor.newestSnapshot, parsed.snapshot().as_of());
-    // Two readers that disagree show here at the latest; the state that replay gave is kept.
+    // A snapshot of another reader whose state differs is detected here; the replayed state stays.
     if (parsed.snapshot().as_of() + 1 == record.offset
         && parsed.snapshot().SerializeAsString() != snapshotOf(cursor.state).SerializeAsString())
         cursor.diverged = true;
--- a/Source/Version/ConfigReplay.h
+++ b/Source/Version/ConfigReplay.h
@@ -7,33 +7,34 @@
 
 namespace wisteria {
 
-/// Where a reader of the configuration stream stands: what it replayed, and what it looks for.
+/// Progress of one reader of the configuration stream.
 struct ReplayCursor
 {
     ConfigState state;
-    /// Set while records that the state needs have expired and a usable snapshot is searched: the
-    /// offset that the search goes on from.
+    /// Next offset to search for a usable snapshot; set while records that the state needs have
+    /// expired.
     std::optional<Offset> searchFrom;
-    /// End of the stream when it was first read; nothing before that.
+    /// End of the stream at the first read; nothing before the first read.
     std::optional<Offset> endAtStart;
-    /// One past the newest record as last heard.
+    /// One past the newest record, as of the last read.
     Offset end = 1;
-    /// `as_of` of the newest snapshot that was met; 0 for none.
+    /// `as_of` of the newest snapshot that was read; 0 for none.
     Offset newestSnapshot = 0;
-    /// Why the reader can't go on, and the remedy; empty while it can.
+    /// Why the reader can't replay further records, and the remedy; empty while it can.
     std::string blocked;
-    /// Whether a snapshot in the log differed from the state that replay gave.
+    /// Whether a snapshot in the log differed from the replayed state.
     bool diverged = false;
 };
 
-/// Offset to read from next.
+/// Offset of the next record to read.
 Offset nextOffset(const ReplayCursor &cursor);
 
-/// Whether everything that stood in the log at the first read has been replayed.
+/// Whether all records that the log held at the first read have been replayed.
 bool hasCaughtUp(const ReplayCursor &cursor);
 
-/// Takes what a read from nextOffset() gave.
-/// @return Whether the version moved. Conflict when the log's end went backwards.
+/// Replays the result of a read from nextOffset(), or searches it for a usable snapshot.
+/// @return Whether the version changed. Conflict if the log's end is before a position that was
+/// already replayed.
 Result<bool> replayBatch(ReplayCursor &cursor, const LogBatch &batch);
 
 } // namespace wisteria
--- a/Source/Version/ConfigState.cpp
+++ b/Source/Version/ConfigState.cpp
@@ -1,22 +1,22 @@
 #include "Version/ConfigState.h"
 
+#include "Version/ChangeValidation.h"
 #include "Version/ConfigCheck.h"
-#include "Version/ConfigJudge.h"
 #include "Version/ConfigObject.h"
 
 namespace wisteria {
 
 namespace {
 
-/// Drops what no acceptable record can refer to any more; see changeWindow.
-void forgetOld(ConfigState &state)
+/// Drops change ids and removals that no acceptable record can refer to any more; see changeWindow.
+void dropExpired(ConfigState &state)
 {
-    const auto isOld = [&](Offset offset) { return offset + changeWindow < state.position; };
-    std::erase_if(state.seen, [&](const auto &entry) { return isOld(entry.second.offset()); });
-    std::erase_if(state.removed, [&](const auto &entry) { return isOld(entry.second); });
+    const auto isExpired = [&](Offset offset) { return offset + changeWindow < state.position; };
+    std::erase_if(state.seen, [&](const auto &entry) { return isExpired(entry.second.offset()); });
+    std::erase_if(state.removed, [&](const auto &entry) { return isExpired(entry.second); });
 }
 
-ReplayVerdict repeated(const v1::SeenChange &seen, const v1::ChangeRecord &change)
+ReplayVerdict verdictOfRepeat(const v1::SeenChange &seen, const v1::ChangeRecord &change)
 {
     const std::string at = std::to_string(seen.offset());
     if (seen.content_digest() != contentDigest(change) && !change.cancel()) {
@@ -45,8 +45,8 @@
     state.rulesVersion = change.rules_version();
 }
 
-void remember(ConfigState &state, Offset offset, const v1::ChangeRecord &change,
-              const ReplayVerdict &verdict)
+void recordVerdict(ConfigState &state, Offset offset, const v1::ChangeRecord &change,
+                   const ReplayVerdict &verdict)
 {
     v1::SeenChange &seen = state.seen[change.change_id()];
     seen.set_change_id(change.change_id());
@@ -62,12 +62,12 @@
         return {false, shape.error().message};
     const auto seen = state.seen.find(change.change_id());
     if (seen != state.seen.end())
-        return repeated(seen->second, change);
-    const ChangeJudgement judgement = judgeChange(state, offset, change);
-    const ReplayVerdict verdict{judgement.acceptable, judgement.reason};
+        return verdictOfRepeat(seen->second, change);
+    const ChangeValidation validation = validateChange(state, offset, change);
+    const ReplayVerdict verdict{validation.acceptable, validation.reason};
     if (verdict.accepted)
         applyChange(state, offset, change);
-    remember(state, offset, change, verdict);
+    recordVerdict(state, offset, change, verdict);
     return verdict;
 }
 
@@ -79,9 +79,9 @@
         return {false, "this record was replayed before"};
     v1::ConfigRecord parsed;
     const bool readable = parsed.ParseFromString(record.data);
-    // Failure guarded against: an old release that rejects, or half understands, a record of a
-    // newer one and from then on holds another state than the rest. It stops before the record
-    // instead, keeps its last state and says what to do.
+    // Guards against an old release that rejects, or partly understands, a record of a newer one
+    // and from then on holds another state than all other processes. It stops before the record
+    // instead, keeps its last state and reports the remedy.
     if (readable && parsed.has_change() && parsed.change().rules_version() > newestRules) {
         return {false,
                 "the record at offset " + std::to_string(record.offset) + " needs rules "
@@ -90,7 +90,7 @@
                 true};
     }
     state.position = record.offset;
-    forgetOld(state);
+    dropExpired(state);
     if (!readable || !parsed.has_change())
         return {false, "the record is not a change; append changes through wisteria-admin"};
     return replayChange(state, record.offset, parsed.change());
--- a/Source/Version/ConfigState.h
+++ b/Source/Version/ConfigState.h
@@ -18,36 +18,36 @@
     auto operator<=>(const ObjectKey &) const = default;
 };
 
-/// The configuration after every record up to `position`. A plain value: replaying the same records
-/// gives the same state on every process.
+/// The configuration after every record up to `position`. A value type without I/O: replaying the
+/// same records gives the same state in every process.
 struct ConfigState
 {
     std::map<ObjectKey, v1::VersionedObject> objects;
-    /// Offset of the newest accepted change; the version that processes tell each other.
+    /// Offset of the newest accepted change; processes report it to each other as the version.
     Offset version = 0;
     /// Offset of the newest record that was replayed, accepted or not.
     Offset position = 0;
-    /// Verdicts by change id, so that a repeated record has no second effect; the newest
-    /// changeWindow offsets are kept.
+    /// Verdicts by change id, so that a repeated record has no second effect; kept for the newest
+    /// changeWindow offsets.
     std::map<std::string, v1::SeenChange> seen;
-    /// Offsets at which objects were removed; the newest changeWindow offsets are kept.
+    /// Offsets at which objects were removed; kept for the newest changeWindow offsets.
     std::map<ObjectKey, Offset> removed;
-    /// Highest rules that an accepted change was checked by.
+    /// Highest rules version of an accepted change.
     std::uint32_t rulesVersion = 0;
 };
 
-/// What replay made of one record.
+/// Result of replaying one record.
 struct ReplayVerdict
 {
     bool accepted = false;
     /// Why it was rejected and what to do; empty when accepted.
     std::string reason;
-    /// Set when this program can't judge the record; the state did not move past it.
+    /// Set if the record needs newer rules than this program has; the state stays before it.
     bool undecided = false;
 };
 
-/// Replays one record of the configuration stream onto the state. Deterministic: depends on the
-/// state and the record alone. Records at or below `state.position` are ignored. A change is taken
+/// Replays one record of the configuration stream onto the state. Deterministic: depends only on
+/// the state and the record. Records at or below `state.position` are ignored. A change is applied
 /// as a whole or not at all.
 ReplayVerdict replayRecord(ConfigState &state, const LogRecord &record);
 
--- a/Source/Version/ConfigView.cpp
+++ b/Source/Version/ConfigView.cpp
@@ -13,8 +13,8 @@
     const auto changed = changed_.find(key);
     if (changed != changed_.end())
         return changed->second;
-    const auto held = state_.objects.find(key);
-    return held == state_.objects.end() ? nullptr : &held->second.object();
+    const auto existing = state_.objects.find(key);
+    return existing == state_.objects.end() ? nullptr : &existing->second.object();
 }
 
 void ConfigView::forEach(v1::ObjectKind kind,
--- a/Source/Version/ConfigView.h
+++ b/Source/Version/ConfigView.h
@@ -8,19 +8,20 @@
 namespace wisteria {
 
 /// The configuration as it would be after a change, without copying the state. State and change
-/// outlive the view.
+/// must outlive the view.
 class ConfigView
 {
 public:
-    /// The state as it is.
+    /// View of the state without a change.
     explicit ConfigView(const ConfigState &state) : state_(state) { }
-    /// The state with the change on top.
+    /// View of the state with the change applied.
     ConfigView(const ConfigState &state, const v1::ChangeRecord &change);
 
     /// The object, or null if there is none.
     const v1::Object *find(const ObjectKey &key) const;
 
-    /// Calls `visit` with each object of a kind, in no particular but a fixed order.
+    /// Calls `visit` with each object of a kind, in a deterministic order: unchanged objects by
+    /// name, then changed ones by name.
     void forEach(v1::ObjectKind kind, const std::function<void(const v1::Object &)> &visit) const;
 
 private:
--- a/Source/Version/EntryMembers.cpp
+++ b/Source/Version/EntryMembers.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// A record of an older life of a process must not bring back the address of that life.
+/// Whether the record is from an older incarnation of the entry than the known one, whose address
+/// it must not replace.
 bool isOutdated(const EntryMembers &members, const v1::EntryMemberRecord &record)
 {
     const auto known = members.members.find(record.name());
@@ -24,12 +25,12 @@
         members.members[record.name()] = {record.address(), record.incarnation(), now};
 }
 
-/// The log's silence says nothing of the entries: during an outage the last known set stays, so
-/// that limits and subsets don't jump for all entries at once.
-void dropSilent(EntryMembers &members)
+/// Removes entries that timed out, measured up to the log's last answer: during an outage of the
+/// log the last known set stays, so that limits and subsets don't jump for all entries at once.
+void removeTimedOut(EntryMembers &members)
 {
     std::erase_if(members.members, [&](const auto &entry) {
-        return members.lastContact - entry.second.lastRecord > memberSilence;
+        return members.lastContact - entry.second.lastRecord > memberTimeout;
     });
 }
 
@@ -46,7 +47,7 @@
 bool updateMembers(EntryMembers &members, const LogBatch &batch, TimePoint now)
 {
     const auto before = addresses(members);
-    // After an outage every entry gets the time for a record before it counts as silent.
+    // After an outage of the log, every entry gets time to append a record before it times out.
     if (now - members.lastContact > memberInterval) {
         for (auto &[name, member] : members.members)
             member.lastRecord = std::max(member.lastRecord, now - memberInterval);
@@ -58,7 +59,7 @@
         members.position = record.offset;
         applyRecord(members, record, now);
     }
-    dropSilent(members);
+    removeTimedOut(members);
     return addresses(members) != before;
 }
 
--- a/Source/Version/EntryMembers.h
+++ b/Source/Version/EntryMembers.h
@@ -13,10 +13,10 @@
 
 /// How often an entry appends its membership record.
 constexpr milliseconds memberInterval{10'000};
-/// An entry counts as gone when the log has answered for this long without a record of it.
-constexpr milliseconds memberSilence{35'000};
+/// An entry counts as gone if the log has answered for this long without a record of the entry.
+constexpr milliseconds memberTimeout{35'000};
 
-/// One entry as others know it.
+/// Address and last record of one entry.
 struct EntryMember
 {
     std::string address;
@@ -24,25 +24,26 @@
     TimePoint lastRecord;
 };
 
-/// The entries that share the callers' work, as the log's stream of membership records tells. The
-/// log is asked for this rather than a coordination service of the project's own.
+/// The live entries, from the log's stream of membership records. The log is used for membership
+/// so that the project needs no separate coordination service.
 struct EntryMembers
 {
     std::map<std::string, EntryMember> members;
-    /// Offset up to which records were taken in.
+    /// Offset of the newest record that was applied.
     Offset position = 0;
-    /// When the log last answered; no entry ages while it is out.
+    /// When the log last answered; no entry times out while the log doesn't answer.
     TimePoint lastContact;
 };
 
-/// Takes in what one read of the stream gave, and drops entries that went silent or said goodbye.
+/// Applies the result of one read of the stream. Removes entries that announced their shutdown or
+/// timed out.
 /// @return Whether the set of names or addresses changed.
 bool updateMembers(EntryMembers &members, const LogBatch &batch, TimePoint now);
 
-/// Names of the present entries, sorted.
+/// Names of the live entries, sorted.
 std::vector<std::string> memberNames(const EntryMembers &members);
 
-/// Peer address of an entry; empty when it is not known.
+/// Peer address of an entry; empty if the entry is unknown.
 std::string memberAddress(const EntryMembers &members, const std::string &name);
 
 } // namespace wisteria
--- a/Source/Version/LogRecord.h
+++ b/Source/Version/LogRecord.h
@@ -10,14 +10,14 @@
 /// 0 means "before every record".
 using Offset = std::uint64_t;
 
-/// One record as the log keeps it.
+/// One record of the log.
 struct LogRecord
 {
     Offset offset = 0;
     std::string data;
 };
 
-/// What one read of a stream gave.
+/// Result of one read of a stream.
 struct LogBatch
 {
     std::vector<LogRecord> records;
--- a/Source/Version/Snapshot.cpp
+++ b/Source/Version/Snapshot.cpp
@@ -1,6 +1,6 @@
 #include "Version/Snapshot.h"
 
-#include "Version/ConfigJudge.h"
+#include "Version/ChangeValidation.h"
 #include "Version/ConfigObject.h"
 
 namespace wisteria {
--- a/Source/Version/Snapshot.h
+++ b/Source/Version/Snapshot.h
@@ -7,34 +7,36 @@
 
 namespace wisteria {
 
-/// The whole state as a record. Equal states give equal bytes.
+/// Returns the whole state as a record. Equal states give equal bytes.
 v1::SnapshotRecord snapshotOf(const ConfigState &state);
 
-/// Replaces the state by a snapshot's if that moves it forward.
-/// @return Whether it did. A snapshot that is not newer, or that was made by rules which this
-/// program does not know, changes nothing.
+/// Replaces the state by a snapshot's if the snapshot is newer and of rules that this program
+/// knows.
+/// @return Whether the state was replaced.
 bool adoptSnapshot(ConfigState &state, const v1::SnapshotRecord &snapshot);
 
-/// What a process that writes snapshots knows of the last one, whoever wrote it.
+/// The newest snapshot in the log, by any writer, as seen by a process that writes snapshots.
 struct SnapshotSchedule
 {
     /// `as_of` of the newest snapshot; 0 for none.
     Offset newest = 0;
-    /// When this process first saw it; nothing right after its start, when its age is unknown.
+    /// When this process first saw it; nothing if it was already there at the start of the process,
+    /// so that its age is unknown.
     std::optional<TimePoint> seenAt;
 };
 
-/// Records after which a snapshot is due whatever its age, which bounds the time of a start.
+/// Number of records after which a snapshot is due whatever the age of the last one. It bounds the
+/// replay time at the start of a process.
 inline constexpr Offset recordsPerSnapshot = 512;
 
-/// Notes the newest snapshot of the log.
-/// @param fresh Whether it came after this process had caught up; one that was found while the log
-/// was read from its beginning may be of any age.
+/// Records the newest snapshot of the log.
+/// @param fresh Whether it was appended after this process had caught up. A snapshot that is found
+/// while the log is first read may be of any age.
 void noteNewestSnapshot(SnapshotSchedule &schedule, Offset newest, bool fresh, TimePoint now);
 
-/// Whether a snapshot should be appended now. Failure guarded against: the records of a quiet
-/// configuration expire all the same, and a process that starts later finds nothing. A snapshot is
-/// therefore due each `period` (a quarter of the log's retention) though nothing changed.
+/// Whether a snapshot should be appended now. Records expire even if the configuration does not
+/// change, and a process that starts after that would find no state. A snapshot is therefore due
+/// every `period` (a quarter of the log's retention) even without changes.
 bool snapshotDue(const SnapshotSchedule &schedule, Offset position, milliseconds period,
                  TimePoint now);
 
--- a/Source/Version/VmList.cpp
+++ b/Source/Version/VmList.cpp
@@ -25,25 +25,26 @@
 
 void updateVmList(VmView &view, const std::map<std::string, VmState> &list, TimePoint now)
 {
-    if (!view.any)
-        view.firstList = now;
-    view.any = true;
-    view.newestList = now;
+    if (!view.hasList)
+        view.firstListAt = now;
+    view.hasList = true;
+    view.newestListAt = now;
     view.listed = list;
     for (const auto &[name, state] : list)
-        view.lastListed[name] = now;
-    std::erase_if(view.lastListed,
+        view.lastListedAt[name] = now;
+    std::erase_if(view.lastListedAt,
                   [&](const auto &vm) { return now - vm.second > 2 * vmGoneAfter; });
 }
 
 bool isVmGone(const VmView &view, const std::string &vm)
 {
-    if (!view.any || view.listed.contains(vm))
+    if (!view.hasList || view.listed.contains(vm))
         return false;
-    const auto found = view.lastListed.find(vm);
-    const TimePoint lastListed =
-        found == view.lastListed.end() ? view.firstList : std::max(view.firstList, found->second);
-    return view.newestList - lastListed >= vmGoneAfter;
+    const auto found = view.lastListedAt.find(vm);
+    const TimePoint lastListedAt = found == view.lastListedAt.end()
+        ? view.firstListAt
+        : std::max(view.firstListAt, found->second);
+    return view.newestListAt - lastListedAt >= vmGoneAfter;
 }
 
 std::set<std::string> leavingVms(const VmView &view)
--- a/Source/Version/VmList.h
+++ b/Source/Version/VmList.h
@@ -9,38 +9,39 @@
 
 namespace wisteria {
 
-/// What the platform's list says of a VM.
+/// State of a VM in the platform's list.
 enum class VmState { Live, Leaving };
 
-/// How far the platform's list may lag behind, and one answer of it behind another.
-constexpr milliseconds vmListLag{30'000};
-/// A VM that no list named for this long is gone. Twice the lag: a VM that just started may be
-/// missing for one, and a list older than the last one may come after it.
-constexpr milliseconds vmGoneAfter = 2 * vmListLag;
+/// Maximum age of the data in one answer of the platform's list; one answer may be older than the
+/// answer before it by as much.
+constexpr milliseconds maxVmListLag{30'000};
+/// A VM that no list named for this long is gone. It is twice the lag: a VM that just started may
+/// be missing for one lag, and a list may arrive after a newer one.
+constexpr milliseconds vmGoneAfter = 2 * maxVmListLag;
 
-/// The platform's list as one process has seen it.
+/// The platform's lists as one process has received them.
 struct VmView
 {
     std::map<std::string, VmState> listed;
     /// When each VM was last named by a list.
-    std::map<std::string, TimePoint> lastListed;
-    /// When the first and the newest list came; nothing ages while no list comes.
-    TimePoint firstList;
-    TimePoint newestList;
-    bool any = false;
+    std::map<std::string, TimePoint> lastListedAt;
+    /// When the first and the newest list arrived; no VM ages while no list arrives.
+    TimePoint firstListAt;
+    TimePoint newestListAt;
+    bool hasList = false;
 };
 
 /// Reads the platform's answer, {"vms":[{"name":"vm1","state":"live"}]}.
-/// @return BadInput when it can't be understood.
+/// @return BadInput if it can't be parsed.
 Result<std::map<std::string, VmState>> parseVmList(const std::string &body);
 
-/// Takes in a list.
+/// Applies a list that arrived at `now`.
 void updateVmList(VmView &view, const std::map<std::string, VmState> &list, TimePoint now);
 
-/// Whether the VM is proved to be gone, so that nothing runs on it any more.
+/// Whether the VM is certainly gone, so that no process runs on it any more.
 bool isVmGone(const VmView &view, const std::string &vm);
 
-/// VMs that the newest list names as leaving.
+/// VMs in state `Leaving` in the newest list.
 std::set<std::string> leavingVms(const VmView &view);
 
 } // namespace wisteria
--- a/Tests/Fuzz/ConfigFuzzer.cpp
+++ b/Tests/Fuzz/ConfigFuzzer.cpp
@@ -5,9 +5,9 @@
 #include <cstdlib>
 #include <string>
 
+#include "Version/ChangeValidation.h"
 #include "Version/ConfigCheck.h"
 #include "Version/ConfigFile.h"
-#include "Version/ConfigJudge.h"
 #include "Version/Snapshot.h"
 
 using namespace wisteria;
--- a/Tests/Process/AdminOperatorsTest.cpp
+++ b/Tests/Process/AdminOperatorsTest.cpp
@@ -7,7 +7,7 @@
 using namespace wisteria;
 using namespace wisteria::test;
 
-TEST_CASE("A token is known by its SHA-256")
+TEST_CASE("An account is found by the SHA-256 of its token")
 {
     // The digest of "abc" in FIPS 180-2.
     const std::string digest = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad";
@@ -19,9 +19,9 @@
     CHECK(accountOf(accounts, "") == nullptr);
 }
 
-// Seasonal staff get an account for one service or organisation. What lies outside must stay
-// unchanged, also when a backend server would be taken over from another service.
-TEST_CASE("An operator changes what the account covers and nothing else")
+// An operator with an account for one service and one organisation must not change other objects,
+// and must not move a backend server from another service to the account's service.
+TEST_CASE("An operator can change only objects that the account covers")
 {
     ConfigState state;
     v1::ChangeRecord base = emptyChange("change-base");
--- a/Tests/Process/ChangeSubmissionTest.cpp
+++ b/Tests/Process/ChangeSubmissionTest.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-enum class AppendFault { None, Down, LostBefore, LostAfter, Late };
+enum class AppendFault { None, Down, RequestLost, AnswerLost, Late };
 enum class ReadFault { None, Always, AtFirst, AfterAppend };
-enum class Rival { None, Before, Between };
+enum class ConcurrentChange { None, Before, Between };
 
 constexpr milliseconds tick(100);
 constexpr int ticks = 60;
@@ -19,21 +19,23 @@
 constexpr int ticksOfOutage = 20;
 constexpr milliseconds timeout(4000);
 
-/// One cell of the matrix: which fault meets which step.
-struct Cell
+/// One combination of faults of the test matrix.
+struct FaultCombination
 {
+    /// Faults of the first, the second and every later append.
     std::array<AppendFault, 3> appends;
     ReadFault reads;
-    Rival rival;
-    /// Tick at which the admin dies and another one is asked with the same change id; 0 for never.
-    int killedAt;
+    ConcurrentChange concurrentChange;
+    /// Tick at which the admin crashes and the operator sends the same change id to another one; 0
+    /// for never.
+    int crashTick;
 };
 
-/// The log and one admin's replay of it, in virtual time.
-struct World
+/// The log and one admin's replay of it, in simulated time.
+struct Simulation
 {
     std::vector<LogRecord> records;
-    std::vector<std::pair<int, LogRecord>> underWay;
+    std::vector<std::pair<int, LogRecord>> delayed;
     ConfigState state;
 
     Offset write(const v1::ChangeRecord &change)
@@ -43,7 +45,7 @@
     }
     void deliver(int now)
     {
-        for (auto &[due, record] : underWay) {
+        for (auto &[due, record] : delayed) {
             if (due == now) {
                 record.offset = records.size() + 1;
                 records.push_back(record);
@@ -67,27 +69,28 @@
     case ReadFault::AtFirst:
         return now < ticksOfOutage;
     case ReadFault::AfterAppend:
-        return submission.mayStand && now < 2 * ticksOfOutage;
+        return submission.mayBeWritten && now < 2 * ticksOfOutage;
     }
     return false;
 }
 
-void append(World &world, Submission &submission, AppendFault fault, int now, TimePoint time)
+void append(Simulation &simulation, Submission &submission, AppendFault fault, int now,
+            TimePoint time)
 {
     switch (fault) {
     case AppendFault::None:
-        noteAppend(submission, AppendOutcome::Written, world.write(submission.change), time);
+        noteAppend(submission, AppendOutcome::Written, simulation.write(submission.change), time);
         return;
     case AppendFault::Down:
         noteAppend(submission, AppendOutcome::NotWritten, 0, time);
         return;
-    case AppendFault::LostBefore:
+    case AppendFault::RequestLost:
         break;
-    case AppendFault::LostAfter:
-        world.write(submission.change);
+    case AppendFault::AnswerLost:
+        simulation.write(submission.change);
         break;
     case AppendFault::Late:
-        world.underWay.push_back({now + ticksUntilLate, recordOf(0, submission.change)});
+        simulation.delayed.push_back({now + ticksUntilLate, recordOf(0, submission.change)});
         break;
     }
     noteAppend(submission, AppendOutcome::Unknown, 0, time);
@@ -100,125 +103,128 @@
     return change;
 }
 
-struct Ending
+struct SimulationResult
 {
     SubmissionDecision answer;
     int appends = 0;
-    World world;
+    Simulation simulation;
 };
 
-Ending play(const Cell &cell)
+SimulationResult simulate(const FaultCombination &faults)
 {
-    Ending ending;
-    World &world = ending.world;
-    world.records.push_back(serviceRecord(1, "lookup"));
-    world.read();
+    SimulationResult result;
+    Simulation &simulation = result.simulation;
+    simulation.records.push_back(serviceRecord(1, "lookup"));
+    simulation.read();
     const TimePoint start;
-    if (cell.rival == Rival::Before)
-        world.write(changeOf("change-rival", 50));
+    if (faults.concurrentChange == ConcurrentChange::Before)
+        simulation.write(changeOf("change-rival", 50));
     const Submission fresh{changeOf("change-ours", 99), start + timeout, std::nullopt, false,
                            start};
     Submission submission = fresh;
     for (int now = 0; now < ticks; ++now) {
         const TimePoint time = start + now * tick;
-        world.deliver(now);
-        if (cell.rival == Rival::Between && now == 3)
-            world.write(changeOf("change-rival", 50));
-        if (!readFails(cell.reads, now, submission))
-            world.read();
-        if (cell.killedAt != 0 && now == cell.killedAt) {
+        simulation.deliver(now);
+        if (faults.concurrentChange == ConcurrentChange::Between && now == 3)
+            simulation.write(changeOf("change-rival", 50));
+        if (!readFails(faults.reads, now, submission))
+            simulation.read();
+        if (faults.crashTick != 0 && now == faults.crashTick) {
             submission = fresh;
             submission.deadline = time + timeout;
-            submission.mayStand = true;
+            submission.mayBeWritten = true;
         }
-        ending.answer = decideSubmission(submission, world.state, time);
-        if (ending.answer.step == SubmissionStep::Append) {
-            const auto nth = std::min<std::size_t>(ending.appends, cell.appends.size() - 1);
-            append(world, submission, cell.appends.at(nth), now, time);
-            ++ending.appends;
-        } else if (ending.answer.step != SubmissionStep::Wait && now >= cell.killedAt) {
+        result.answer = decideSubmission(submission, simulation.state, time);
+        if (result.answer.step == SubmissionStep::Append) {
+            const auto nth = std::min<std::size_t>(result.appends, faults.appends.size() - 1);
+            append(simulation, submission, faults.appends.at(nth), now, time);
+            ++result.appends;
+        } else if (result.answer.step != SubmissionStep::Wait && now >= faults.crashTick) {
             break;
         }
     }
-    return ending;
+    return result;
 }
 
-/// Lets everything that is under way arrive and reads the whole log.
-ConfigState settled(World world)
+/// Delivers all delayed appends and returns the state after the whole log.
+ConfigState stateAfterDelivery(Simulation simulation)
 {
     for (int now = 0; now <= ticks + ticksUntilLate; ++now)
-        world.deliver(now);
-    world.read();
-    return world.state;
+        simulation.deliver(now);
+    simulation.read();
+    return simulation.state;
 }
 
-/// What must hold of the answer, whatever comes later.
-void checkTruth(const Cell &cell, const Ending &ending)
+/// Checks the operator's answer against the state after all delayed appends have arrived.
+void checkAnswer(const FaultCombination &faults, const SimulationResult &result)
 {
-    const ConfigState later = settled(ending.world);
-    const auto seen = later.seen.find("change-ours");
-    const bool stands = seen != later.seen.end();
-    const bool inForce = stands && seen->second.accepted();
-    const SubmissionStep answer = ending.answer.step;
+    const ConfigState finalState = stateAfterDelivery(result.simulation);
+    const auto seen = finalState.seen.find("change-ours");
+    const bool isWritten = seen != finalState.seen.end();
+    const bool inForce = isWritten && seen->second.accepted();
+    const SubmissionStep answer = result.answer.step;
     const bool answered = answer == SubmissionStep::Accepted || answer == SubmissionStep::Refused
         || answer == SubmissionStep::NotYetKnown;
     REQUIRE(answered);
-    REQUIRE(ending.appends <= 2 * timeout / milliseconds(200) + 4);
+    REQUIRE(result.appends <= 2 * timeout / milliseconds(200) + 4);
     if (answer == SubmissionStep::Accepted) {
         REQUIRE(inForce);
-        REQUIRE(ending.answer.version == seen->second.offset());
+        REQUIRE(result.answer.version == seen->second.offset());
     }
     if (answer == SubmissionStep::Refused) {
         REQUIRE_FALSE(inForce);
-        REQUIRE(ending.answer.reason.find("; ") != std::string::npos);
+        REQUIRE(result.answer.reason.find("; ") != std::string::npos);
     }
-    const bool allDown = std::all_of(cell.appends.begin(), cell.appends.end(),
+    const bool allDown = std::all_of(faults.appends.begin(), faults.appends.end(),
                                      [](AppendFault fault) { return fault == AppendFault::Down; });
-    if (allDown && cell.killedAt == 0)
+    if (allDown && faults.crashTick == 0)
         REQUIRE(answer == SubmissionStep::Refused);
-    const bool calm = cell.appends[0] == AppendFault::None && cell.reads == ReadFault::None;
-    if (calm && cell.rival == Rival::None)
+    const bool noFaults = faults.appends[0] == AppendFault::None && faults.reads == ReadFault::None;
+    if (noFaults && faults.concurrentChange == ConcurrentChange::None)
         REQUIRE(answer == SubmissionStep::Accepted);
-    // Whoever asks later, once everything has arrived, hears what is in force.
-    const SubmissionStep asked = outcomeOf("change-ours", later).step;
-    REQUIRE(asked
-            == (inForce      ? SubmissionStep::Accepted
-                    : stands ? SubmissionStep::Refused
-                             : SubmissionStep::NotYetKnown));
+    // A later outcome request, after all appends have arrived, returns the state in force.
+    const SubmissionStep outcome = outcomeOf("change-ours", finalState).step;
+    REQUIRE(outcome
+            == (inForce         ? SubmissionStep::Accepted
+                    : isWritten ? SubmissionStep::Refused
+                                : SubmissionStep::NotYetKnown));
 }
 
 } // namespace
 
-// The log is down, slow, or loses an answer after the write took effect; a rival changes the same
-// object; the admin dies and the operator repeats the change elsewhere. Whatever the operator was
-// told must still be true when everything has arrived.
-TEST_CASE("An operator's answer stays true under every fault at every step")
+// The log is down, slow, or loses an answer after the write took effect; another operator changes
+// the same object; the admin crashes and the operator repeats the change at another one. The answer
+// to the operator must still be correct when all delayed appends have arrived.
+TEST_CASE("An operator's answer stays correct under every combination of faults")
 {
-    const std::array appendFaults = {AppendFault::None, AppendFault::Down, AppendFault::LostBefore,
-                                     AppendFault::LostAfter, AppendFault::Late};
+    const std::array appendFaults = {AppendFault::None, AppendFault::Down, AppendFault::RequestLost,
+                                     AppendFault::AnswerLost, AppendFault::Late};
     const std::array readFaults = {ReadFault::None, ReadFault::Always, ReadFault::AtFirst,
                                    ReadFault::AfterAppend};
-    int cells = 0;
+    int combinations = 0;
     std::map<SubmissionStep, int> answers;
     for (const AppendFault first : appendFaults)
         for (const AppendFault second : appendFaults)
             for (const AppendFault third : appendFaults)
                 for (const ReadFault reads : readFaults)
-                    for (const Rival rival : {Rival::None, Rival::Before, Rival::Between})
-                        for (const int killedAt : {0, 1, 2, 7}) {
-                            const Cell cell{{first, second, third}, reads, rival, killedAt};
-                            const Ending ending = play(cell);
-                            checkTruth(cell, ending);
-                            ++answers[ending.answer.step];
-                            ++cells;
+                    for (const ConcurrentChange concurrentChange :
+                         {ConcurrentChange::None, ConcurrentChange::Before,
+                          ConcurrentChange::Between})
+                        for (const int crashTick : {0, 1, 2, 7}) {
+                            const FaultCombination faults{
+                                {first, second, third}, reads, concurrentChange, crashTick};
+                            const SimulationResult result = simulate(faults);
+                            checkAnswer(faults, result);
+                            ++answers[result.answer.step];
+                            ++combinations;
                         }
-    CHECK(cells == 6000);
+    CHECK(combinations == 6000);
     CHECK(answers[SubmissionStep::Accepted] > 500);
     CHECK(answers[SubmissionStep::Refused] > 500);
     CHECK(answers[SubmissionStep::NotYetKnown] > 500);
 }
 
-TEST_CASE("A change id that was used for something else is not answered as accepted")
+TEST_CASE("A change with the id of an accepted, different change is refused")
 {
     ConfigState state;
     replayRecord(state, serviceRecord(1, "lookup"));
--- a/Tests/Process/ConfigFollowerTest.cpp
+++ b/Tests/Process/ConfigFollowerTest.cpp
@@ -32,9 +32,9 @@
     CHECK_FALSE(follower.poll(milliseconds(0)).value());
 }
 
-// The log goes away for hours. Running processes go on with what they have; one that starts takes
-// the state from a peer, and once the log is back it goes forward from there.
-TEST_CASE("During an outage a running process keeps its state and a new one takes a peer's")
+// The log is unavailable for hours. Running processes continue with their state. A process that
+// starts adopts a peer's state and replays from there once the log is available again.
+TEST_CASE("During a log outage a running process keeps its state and a new one adopts a peer's")
 {
     MemoryLogClient log;
     append(log, serviceRecord(1, "lookup"));
@@ -63,9 +63,9 @@
     CHECK(starting.state()->objects.size() == 2);
 }
 
-// Needed records have expired and no snapshot is left. To serve with nothing would refuse every
-// caller as unknown; to serve with a part would be worse.
-TEST_CASE("A follower that finds neither records nor a snapshot says so and is not usable")
+// Needed records have expired and no snapshot is left. An empty configuration would refuse every
+// caller as unknown; a partial one would be worse.
+TEST_CASE("A follower that finds neither records nor a snapshot is blocked and not usable")
 {
     MemoryLogClient log;
     append(log, serviceRecord(1, "lookup"));
@@ -80,10 +80,9 @@
     CHECK(follower.status().blocked.find("take the state from a peer") != std::string::npos);
 }
 
-// A release with new rules is rolled out, and a running process of the older release meets its
-// first record. It must not drop its callers: it goes on with what it has and says that it is
-// stuck.
-TEST_CASE("A running process goes on with its state when it can't follow the log any more")
+// A running process of an older release reads the first record of a release with new rules. It must
+// not drop its callers, so it keeps its state and reports that it is blocked.
+TEST_CASE("A running process keeps its state when it can't follow the log any more")
 {
     MemoryLogClient log;
     append(log, serviceRecord(1, "lookup"));
@@ -98,7 +97,7 @@
     CHECK(follower.state()->version == 1);
     CHECK(follower.status().blocked.find("upgrade this process") != std::string::npos);
 
-    ConfigFollower starting(log); // one that starts now has nothing to go on with
+    ConfigFollower starting(log); // a process that starts now has no earlier state
     REQUIRE(starting.poll(milliseconds(0)).has_error());
     CHECK_FALSE(starting.usable());
 
--- a/Tests/Process/FleetProbeTest.cpp
+++ b/Tests/Process/FleetProbeTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A process of the fleet: answers with its state, or, when frozen, never.
+/// A process of the fleet: answers with its version, or never if frozen.
 class FleetMember : public PeerService
 {
 public:
@@ -59,9 +59,9 @@
 
 } // namespace
 
-// An operator asks for the fleet's status while one process is frozen and one is gone. The others
-// must be shown all the same, and soon.
-TEST_CASE("The fleet is shown though a process is frozen and another gone")
+// An operator requests the fleet's status while one process does not respond and another has
+// stopped. The answers of the others must still be returned, within the timeout.
+TEST_CASE("A probe returns the other heartbeats if one process is frozen and another has stopped")
 {
     const FleetMember behind(4, false);
     const FleetMember current(9, false);
--- a/Tests/Process/MemoryLogClient.h
+++ b/Tests/Process/MemoryLogClient.h
@@ -8,7 +8,7 @@
 
 namespace wisteria::test {
 
-/// A log in memory that any number of threads and clients share, with the faults that tests set.
+/// Log in memory that any number of threads share, with outages and expired records set by tests.
 class MemoryLogClient : public LogClient
 {
 public:
--- a/Tests/Version/ConfigMistakesTest.cpp
+++ b/Tests/Version/ConfigMistakesTest.cpp
@@ -29,7 +29,8 @@
     REQUIRE(replayRecord(state, recordOf(state.position + 1, change)).reason.empty());
 }
 
-/// The base, then a routing policy and a service that changed and an organisation that left.
+/// The objects of base.json, with later changes to a service and a routing policy, an organisation
+/// that was removed and a routing policy that was added last.
 ConfigState stateInForce()
 {
     ConfigState state;
@@ -58,8 +59,8 @@
     return state;
 }
 
-/// One line of the table: title, the operator's file, and how the change is signed where that is
-/// the mistake.
+/// One line of mistakes.txt: title, the operator's file, and "field=value" of the change record if
+/// the mistake is in one of its fields.
 struct Mistake
 {
     std::string title;
@@ -96,8 +97,8 @@
     return change;
 }
 
-/// What an operator is told, as wisteriactl and the admin come to it.
-std::string answerTo(const ConfigState &state, const Mistake &mistake)
+/// Message that the operator gets, from the checks of wisteriactl and the admin in their order.
+std::string messageFor(const ConfigState &state, const Mistake &mistake)
 {
     const auto file = parseConfigFile(mistake.file, "file.json");
     if (!file)
@@ -111,33 +112,33 @@
     const auto shape = checkShape(change);
     if (!shape)
         return "admin: " + shape.error().message;
-    const ChangeJudgement judgement = judgeChange(state, state.position + 1, change);
-    if (judgement.acceptable)
+    const ChangeValidation validation = validateChange(state, state.position + 1, change);
+    if (validation.acceptable)
         return "ACCEPTED";
-    return (judgement.needsConfirmation ? "held back: " : "refused: ") + judgement.reason;
+    return (validation.needsConfirmation ? "held back: " : "refused: ") + validation.reason;
 }
 
 } // namespace
 
-// An operator makes a mistake in a file, a number or a name, or applies a file that is out of date.
-// Without a check it would be in force everywhere within seconds. Each is refused or held back,
-// with what was found and what to do.
+// An operator makes a mistake in a file, a number or a name, or applies an outdated file. Without a
+// check it would be in force in every process within seconds. Each mistake is refused or needs a
+// confirmation, with a message that names the mistake and the remedy.
 TEST_CASE("Each known mistake is refused or held back with its remedy")
 {
     const ConfigState state = stateInForce();
     std::istringstream table(textOf(folder + "mistakes.txt"));
-    std::string said;
+    std::string actual;
     std::string line;
     std::size_t mistakes = 0;
     while (std::getline(table, line)) {
         const Mistake mistake = mistakeFrom(line);
-        const std::string answer = answerTo(state, mistake);
+        const std::string message = messageFor(state, mistake);
         INFO(mistake.title);
-        CHECK(answer != "ACCEPTED");
-        CHECK(answer.find("; ") != std::string::npos);
-        said += mistake.title + "\n    " + answer + "\n";
+        CHECK(message != "ACCEPTED");
+        CHECK(message.find("; ") != std::string::npos);
+        actual += mistake.title + "\n    " + message + "\n";
         ++mistakes;
     }
     CHECK(mistakes >= 40);
-    CHECK(said == textOf(folder + "answers.txt"));
+    CHECK(actual == textOf(folder + "answers.txt"));
 }
--- a/Tests/Version/ConfigRecords.h
+++ b/Tests/Version/ConfigRecords.h
@@ -2,7 +2,7 @@
 
 #include <string>
 
-#include "Version/ConfigJudge.h"
+#include "Version/ChangeValidation.h"
 #include "Version/ConfigObject.h"
 #include "Version/ConfigState.h"
 
@@ -54,7 +54,7 @@
     return object;
 }
 
-/// A change that is complete but for its entries.
+/// A change with all fields set except its object changes.
 inline v1::ChangeRecord emptyChange(const std::string &id, Offset basePosition = 0)
 {
     v1::ChangeRecord change;
--- a/Tests/Version/ConfigReplayTest.cpp
+++ b/Tests/Version/ConfigReplayTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The log as a reader sees it: records from `first` on.
+/// Log in memory; records before `first` have expired.
 struct MemoryLog
 {
     std::vector<LogRecord> records;
@@ -25,10 +25,11 @@
         records.push_back(std::move(record));
         return records.back().offset;
     }
-    LogBatch read(Offset from, std::size_t most) const
+    LogBatch read(Offset from, std::size_t maxRecords) const
     {
         LogBatch batch{{}, first, end()};
-        for (Offset at = std::max(from, first); at < end() && batch.records.size() < most; ++at)
+        for (Offset at = std::max(from, first); at < end() && batch.records.size() < maxRecords;
+             ++at)
             batch.records.push_back(records[at - 1]);
         return batch;
     }
@@ -39,12 +40,13 @@
     return snapshotOf(state).SerializeAsString();
 }
 
-/// Reads until nothing more comes; checks that the version never goes down.
-void follow(ReplayCursor &cursor, const MemoryLog &log, std::size_t most)
+/// Reads up to the log's end or until the reader is blocked; checks that the version never
+/// decreases.
+void follow(ReplayCursor &cursor, const MemoryLog &log, std::size_t maxRecords)
 {
     while (true) {
         const Offset versionBefore = cursor.state.version;
-        const LogBatch batch = log.read(nextOffset(cursor), most);
+        const LogBatch batch = log.read(nextOffset(cursor), maxRecords);
         REQUIRE(replayBatch(cursor, batch).has_value());
         REQUIRE(cursor.state.version >= versionBefore);
         if (nextOffset(cursor) >= log.end() || !cursor.blocked.empty())
@@ -52,21 +54,23 @@
     }
 }
 
-/// Appends one of an operator's changes, right or wrong, or something else that a log may hold.
-void appendSomething(MemoryLog &log, const ConfigState &state, const ConfigState &slow,
-                     std::vector<LogRecord> &late)
+/// Appends a random record: a valid or invalid change, a duplicate, a cancellation, an outdated
+/// snapshot or unreadable data.
+void appendRandomRecord(MemoryLog &log, const ConfigState &state, const ConfigState &slow,
+                        std::vector<LogRecord> &sentRecords)
 {
     const int choice = *rc::gen::inRange(0, 14);
     const std::string name = "s" + std::to_string(*rc::gen::inRange(0, 4));
     const ObjectKey key{v1::OBJECT_KIND_SERVICE, name};
-    const auto held = state.objects.find(key);
-    const Offset current = held == state.objects.end() ? 0 : held->second.version();
+    const auto existing = state.objects.find(key);
+    const Offset current = existing == state.objects.end() ? 0 : existing->second.version();
     const Offset base = *rc::gen::element(current, current, current, Offset(0), Offset(1));
     const Offset position = *rc::gen::element(state.position, state.position, Offset(0));
     const std::string id = "change-" + std::to_string(*rc::gen::inRange(0, 400));
     v1::ChangeRecord change = emptyChange(id, position);
-    if (choice == 0 && !late.empty()) {
-        log.append(late[*rc::gen::inRange<std::size_t>(0, late.size())]); // a duplicate, or late
+    if (choice == 0 && !sentRecords.empty()) {
+        log.append(sentRecords[*rc::gen::inRange<std::size_t>(
+            0, sentRecords.size())]); // a duplicate, or delayed
         return;
     }
     if (choice == 1) {
@@ -86,13 +90,13 @@
     if (*rc::gen::inRange(0, 2) == 0)
         change.set_confirm_digest(effectsOf(state, change).digest);
     const LogRecord record = recordOf(0, change);
-    late.push_back(record);
-    if (*rc::gen::inRange(0, 4) != 0) // else the append was lost, and may come later
+    sentRecords.push_back(record);
+    if (*rc::gen::inRange(0, 4) != 0) // else the append is lost, or arrives later
         log.append(record);
 }
 
-/// Replays everything by the simplest means, as the judge of all other readers.
-ConfigState plainReplay(const MemoryLog &log)
+/// Replays every record in order; reference for all other readers.
+ConfigState referenceReplay(const MemoryLog &log)
 {
     ConfigState state;
     for (const LogRecord &record : log.records)
@@ -102,52 +106,52 @@
 
 } // namespace
 
-// Two operators race, answers of appends are lost and the appends repeated, some arrive late, the
-// log drops old records. Every process must still hold the same configuration, and none may go
-// back.
-TEST_CASE("Any log gives every reader the same state, and versions never go down")
+// Operators make concurrent changes, answers to appends are lost and the appends are repeated, some
+// arrive late, and the log drops old records. Every process must still have the same configuration,
+// and its version must never decrease.
+TEST_CASE("Any log gives every reader the same state, and versions never decrease")
 {
-    std::size_t fromSnapshot = 0;
-    std::size_t refusing = 0;
+    std::size_t snapshotReaders = 0;
+    std::size_t blockedReaders = 0;
     const bool holds = rc::check([&] {
         MemoryLog log;
-        std::vector<LogRecord> late;
+        std::vector<LogRecord> sentRecords;
         ReplayCursor writer;
         ReplayCursor early;
         const int appends = *rc::gen::inRange(1, 60);
         for (int i = 0; i < appends; ++i) {
             if (*rc::gen::inRange(0, 6) != 0)
-                follow(writer, log, 64); // else it judges and writes by a state that is behind
-            appendSomething(log, writer.state, early.state, late);
+                follow(writer, log, 64); // else it writes from an outdated state
+            appendRandomRecord(log, writer.state, early.state, sentRecords);
             if (*rc::gen::inRange(0, 5) == 0)
                 follow(early, log, *rc::gen::inRange<std::size_t>(1, 9));
         }
         follow(early, log, 3);
-        const ConfigState expected = plainReplay(log);
+        const ConfigState expected = referenceReplay(log);
         RC_ASSERT(bytesOf(early.state) == bytesOf(expected));
         RC_ASSERT(!early.diverged);
-        // A process that starts now, after the log dropped its oldest records.
+        // A process that starts after the log dropped its oldest records.
         log.first = *rc::gen::inRange<Offset>(1, log.end() + 1);
         ReplayCursor starting;
         follow(starting, log, *rc::gen::inRange<std::size_t>(1, 9));
         if (hasCaughtUp(starting)) {
             RC_ASSERT(bytesOf(starting.state) == bytesOf(expected));
-            fromSnapshot += log.first > 1 ? 1 : 0;
+            snapshotReaders += log.first > 1 ? 1 : 0;
         } else {
             RC_ASSERT(!starting.blocked.empty());
-            ++refusing;
+            ++blockedReaders;
         }
     });
     CHECK(holds);
-    // Both ways must really have been taken, or the property says little.
-    CHECK(fromSnapshot > 5);
-    CHECK(refusing > 5);
+    // Both outcomes must have occurred, otherwise the property is hardly tested.
+    CHECK(snapshotReaders > 5);
+    CHECK(blockedReaders > 5);
 }
 
-// An operator's change is accepted while an admin writes a snapshot that does not hold it yet.
-// Later the log drops the change's own record, and a VM is replaced. Were the snapshot used, the
-// new process would serve what the change had superseded.
-TEST_CASE("A snapshot is not used once a record behind its as_of has expired")
+// A change is accepted while an admin writes a snapshot that does not contain it yet. Later the
+// log drops the change's record. A new process that used the snapshot would serve the superseded
+// configuration.
+TEST_CASE("A snapshot is not used once a record after its as_of has expired")
 {
     MemoryLog log;
     ConfigState state;
@@ -173,7 +177,7 @@
     CHECK(tooLate.state.version == 0);
     CHECK(tooLate.blocked.find("no usable snapshot") != std::string::npos);
 
-    replayRecord(state, log.records[1]); // a process that has it writes the next snapshot
+    replayRecord(state, log.records[1]); // a process that has the change writes the next snapshot
     replayRecord(state, log.records[2]);
     log.append(recordOf(0, snapshotOf(state)));
     follow(tooLate, log, 10);
@@ -181,9 +185,9 @@
     CHECK(tooLate.state.version == 2);
 }
 
-// A running process was cut off from the log for longer than the log keeps records. It must not go
-// on from the gap, and a snapshot older than what it has must not take it back.
-TEST_CASE("A reader that fell behind retention goes on only from a snapshot that is newer")
+// A running process can't reach the log for longer than the log keeps records. It must not skip the
+// missing records, and must not revert to a snapshot that is older than its state.
+TEST_CASE("A reader that misses expired records continues only from a newer snapshot")
 {
     MemoryLog log;
     ReplayCursor reader;
@@ -203,11 +207,12 @@
     log.first = 9;
     follow(reader, log, 10);
     CHECK(hasCaughtUp(reader));
-    CHECK(bytesOf(reader.state) == bytesOf(plainReplay(log)));
+    CHECK(bytesOf(reader.state) == bytesOf(referenceReplay(log)));
 }
 
-// During an outage a process takes the configuration from peers, and one of them is behind.
-TEST_CASE("A peer's or the log's snapshot never takes a state back")
+// During an outage of the log, a process fetches the configuration from peers, one of which has an
+// older version.
+TEST_CASE("A snapshot of a peer or the log never reverts a state to an older version")
 {
     MemoryLog log;
     log.append(serviceRecord(1, "lookup"));
@@ -217,7 +222,7 @@
     log.append(serviceRecord(2, "chat"));
     follow(reader, log, 10);
     CHECK_FALSE(adoptSnapshot(reader.state, old));
-    v1::SnapshotRecord lower = old; // further in the log, yet of a lower version
+    v1::SnapshotRecord lower = old; // later in the log, but of a lower version
     lower.set_as_of(9);
     CHECK_FALSE(adoptSnapshot(reader.state, lower));
     v1::SnapshotRecord unknown = snapshotOf(reader.state);
@@ -227,7 +232,7 @@
     CHECK(reader.state.version == 2);
 }
 
-TEST_CASE("A log whose end goes backwards is an error and the state stays")
+TEST_CASE("A log whose end moves backwards is an error and the state stays")
 {
     MemoryLog log;
     log.append(serviceRecord(1, "lookup"));
@@ -239,9 +244,9 @@
     CHECK(reader.state.version == 1);
 }
 
-// Releases are rolled out over days. A record of the newer rules reaches a process of the older
-// release, which would judge it differently and from then on hold another configuration.
-TEST_CASE("A reader stops before a record of rules that it does not know")
+// Releases are rolled out over days. A process of the older release reads a record of newer rules.
+// It would reach another verdict and from then on have another configuration than its peers.
+TEST_CASE("A reader stops before a record of an unknown rules version")
 {
     MemoryLog log;
     log.append(serviceRecord(1, "lookup"));
@@ -273,9 +278,9 @@
     }
 }
 
-// An append hangs in the network for days, after its change id was forgotten, and is written after
-// all. Its object has been removed meanwhile and would come back.
-TEST_CASE("A change that is older than what is remembered is refused")
+// An append is delayed in the network for days and written after its change id was dropped from the
+// state. Its object has been removed meanwhile and would be created again.
+TEST_CASE("A change that was prepared before the change window is refused")
 {
     ConfigState state;
     v1::ChangeRecord create = emptyChange("change-create");
@@ -289,7 +294,7 @@
         ConfigState copy = state;
         copy.position = at - 1;
         CHECK_FALSE(replayRecord(copy, recordOf(at, create)).accepted);
-        create.set_change_id("change-other"); // under another id it is refused just the same
+        create.set_change_id("change-other"); // also refused under another id
         CHECK_FALSE(replayRecord(copy, recordOf(at + 1, create)).accepted);
         CHECK(copy.objects.empty());
     }
@@ -311,7 +316,7 @@
     CHECK(state.objects.empty());
 }
 
-TEST_CASE("History tells refused changes, repeats and what differed")
+TEST_CASE("History lists accepted, repeated and refused changes with their differences")
 {
     MemoryLog log;
     log.append(serviceRecord(1, "lookup"));
--- a/Tests/Version/ConfigStateTest.cpp
+++ b/Tests/Version/ConfigStateTest.cpp
@@ -7,7 +7,7 @@
 using namespace wisteria;
 using namespace wisteria::test;
 
-TEST_CASE("An accepted record sets the version of the objects that it names")
+TEST_CASE("An accepted record sets the version of the objects that it changes")
 {
     ConfigState state;
     CHECK(replayRecord(state, serviceRecord(7, "lookup")).accepted);
--- a/Tests/Version/EntryMembersTest.cpp
+++ b/Tests/Version/EntryMembersTest.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("Entries come with their records and go when they say goodbye")
+TEST_CASE("An entry is added by its first record and removed by its leaving record")
 {
     EntryMembers members;
     CHECK(
@@ -38,23 +38,24 @@
     CHECK(memberNames(members) == std::vector<std::string>{"b"});
 }
 
-// An organisation would be refused at half its limit for minutes: an entry's VM vanished without
-// a word, and the others went on to count it as a sharer of the organisation's budget.
-TEST_CASE("An entry without a record for long counts as gone while the log answers")
+// An entry's VM fails without a leaving record. If the other entries kept counting it, each would
+// get a smaller share of an organisation's budget, and the organisation would be refused at half
+// its limit for minutes.
+TEST_CASE("An entry without a record counts as gone after a timeout while the log answers")
 {
     EntryMembers members;
     updateMembers(members, batchOf({memberRecord(1, "a", 1)}), start);
     TimePoint now = start;
-    while (now < start + memberSilence) {
+    while (now < start + memberTimeout) {
         now += milliseconds(2000);
         updateMembers(members, batchOf({}), now);
     }
     CHECK(memberNames(members).empty());
 }
 
-// All entries would forget each other in an outage of the log and each hand out the whole limit:
-// the outage lasts longer than the silence after which an entry counts as gone.
-TEST_CASE("An outage of the log ages no entry")
+// An outage of the log lasts longer than the timeout of an entry. If entries timed out in it, each
+// entry would see only itself and grant an organisation's whole limit.
+TEST_CASE("No entry times out during an outage of the log")
 {
     EntryMembers members;
     updateMembers(members, batchOf({memberRecord(1, "a", 1)}), start);
@@ -63,9 +64,9 @@
     CHECK(memberNames(members) == std::vector<std::string>{"a"});
 }
 
-// Peers would call an address where nobody listens: the goodbye or heartbeat of a replaced process
-// is appended late, after the first record of its successor under the same name.
-TEST_CASE("A late record of an older life changes nothing")
+// A record of a replaced process is appended late, after the first record of its successor of the
+// same name. Peers would otherwise call an address where no process listens, or drop the successor.
+TEST_CASE("A late record of an older incarnation is ignored")
 {
     EntryMembers members;
     updateMembers(members, batchOf({memberRecord(1, "a", 2)}), start);
--- a/Tests/Version/VmListTest.cpp
+++ b/Tests/Version/VmListTest.cpp
@@ -12,8 +12,9 @@
 
 } // namespace
 
-// A door would open twice: the list, older than the one before, misses a VM that runs, and another
-// home takes over the keys of the backend server there.
+// A list that is older than the one before it lacks a running VM. If the VM counted as gone,
+// another backend server would take over the idempotency keys of the server there, and a request
+// could run twice.
 TEST_CASE("A VM counts as gone only after no list named it for twice the list's lag")
 {
     VmView view;
@@ -27,7 +28,7 @@
     CHECK_FALSE(isVmGone(view, "a"));
 }
 
-TEST_CASE("A VM that was never listed is gone only when lists came for long enough")
+TEST_CASE("A VM that was never listed is gone only after lists arrived for twice the list's lag")
 {
     VmView view;
     CHECK_FALSE(isVmGone(view, "c"));
@@ -37,7 +38,7 @@
     CHECK(isVmGone(view, "c"));
 }
 
-TEST_CASE("Leaving VMs are those that the newest list names so")
+TEST_CASE("Leaving VMs are those in state leaving in the newest list")
 {
     VmView view;
     updateVmList(view, both, start);
@@ -46,7 +47,7 @@
     CHECK(leavingVms(view).empty());
 }
 
-TEST_CASE("A list that can't be understood is an error that names the remedy")
+TEST_CASE("A list that can't be parsed is an error with a remedy")
 {
     CHECK(parseVmList(R"({"vms":[{"name":"a","state":"live"}]})").value().size() == 1);
     CHECK(parseVmList("[]").error().message.find("vms.url") != std::string::npos);
