--- a/Source/Process/ConfigFollower.cpp
+++ b/Source/Process/ConfigFollower.cpp
@@ -28,16 +28,16 @@
             return batch.as_failure();
         }
         const bool divergedBefore = cursor_.diverged;
-        auto moved = replayBatch(cursor_, batch.value());
+        auto versionChanged = replayBatch(cursor_, batch.value());
         if (cursor_.diverged && !divergedBefore)
             logger_->error("a snapshot in the log differs from what replay gave; compare releases");
         publish(true);
         // A record that can't be replayed stays the next one to read, and the log returns it
         // immediately, so a caller without a delay would read it in a busy loop. The error makes
         // callers wait before they retry.
-        if (moved && !cursor_.blocked.empty())
+        if (versionChanged && !cursor_.blocked.empty())
             return failure(ErrorKind::Conflict, cursor_.blocked);
-        return moved;
+        return versionChanged;
     }
 
     bool adopt(const v1::SnapshotRecord &snapshot)
@@ -88,12 +88,12 @@
     /// replayed.
     void publish(bool reachable)
     {
-        std::shared_ptr<const ConfigState> fresh;
+        std::shared_ptr<const ConfigState> stateCopy;
         if (!published_ || published_->position != cursor_.state.position)
-            fresh = std::make_shared<const ConfigState>(cursor_.state);
+            stateCopy = std::make_shared<const ConfigState>(cursor_.state);
         const std::lock_guard<std::mutex> lock(mutex_);
-        if (fresh)
-            published_ = std::move(fresh);
+        if (stateCopy)
+            published_ = std::move(stateCopy);
         publishedChanged_.notify_all();
         caughtUp_ = hasCaughtUp(cursor_);
         wasCaughtUp_ |= caughtUp_;
--- a/Source/Process/ConfigReader.cpp
+++ b/Source/Process/ConfigReader.cpp
@@ -52,12 +52,12 @@
     void run()
     {
         while (!stopping()) {
-            const auto moved = follower_.poll(logWait);
+            const auto versionChanged = follower_.poll(logWait);
             noteReachable(follower_.status().logReachable);
             if (const auto snapshot = takeOffer())
                 follower_.adopt(*snapshot);
             publishState();
-            if (moved.has_error())
+            if (versionChanged.has_error())
                 waitBeforeRetry();
         }
     }
--- a/Source/Version/ConfigCheck.cpp
+++ b/Source/Version/ConfigCheck.cpp
@@ -270,8 +270,8 @@
     std::optional<std::string> problem;
     after.forEach(v1::OBJECT_KIND_BACKEND_SERVER, [&](const v1::Object &object) {
         const v1::BackendServer &server = object.backend_server();
-        const auto [owner, fresh] = owners.emplace(server.agent_address(), server.name());
-        if (!fresh && !problem) {
+        const auto [owner, inserted] = owners.emplace(server.agent_address(), server.name());
+        if (!inserted && !problem) {
             problem = "backend servers '" + owner->second + "' and '" + server.name()
                 + "' share agent_address " + server.agent_address();
         }
@@ -288,11 +288,11 @@
     const auto existing = before.objects.find(keyOf(after));
     if (!after.has_backend_server() || existing == before.objects.end())
         return success();
-    const std::string &was = existing->second.object().backend_server().service();
-    if (was == after.backend_server().service())
+    const std::string &oldService = existing->second.object().backend_server().service();
+    if (oldService == after.backend_server().service())
         return success();
     return failure(ErrorKind::Conflict,
-                   describeKey(keyOf(after)) + " would move from service '" + was + "' to '"
+                   describeKey(keyOf(after)) + " would move from service '" + oldService + "' to '"
                        + after.backend_server().service()
                        + "'; drain and remove it, then create it under a new name");
 }
--- a/Source/Version/ConfigEffect.cpp
+++ b/Source/Version/ConfigEffect.cpp
@@ -38,13 +38,14 @@
         return;
     const auto before = capacityByService(ConfigView(state));
     auto after = capacityByService(ConfigView(state, change));
-    for (const auto &[service, was] : before) {
-        const std::uint64_t is = after[service];
-        const std::string numbers = std::to_string(was) + " to " + std::to_string(is);
-        if (is == 0) {
+    for (const auto &[service, oldValue] : before) {
+        const std::uint64_t newValue = after[service];
+        const std::string numbers = std::to_string(oldValue) + " to " + std::to_string(newValue);
+        if (newValue == 0) {
             effects.push_back("service '" + service
                               + "' is left without a backend server in service");
-        } else if (static_cast<double>(is) < minRemainingFraction * static_cast<double>(was)) {
+        } else if (static_cast<double>(newValue)
+                   < minRemainingFraction * static_cast<double>(oldValue)) {
             effects.push_back("service '" + service
                               + "' loses more than half of its capacity, from " + numbers
                               + " requests at once");
@@ -52,36 +53,37 @@
     }
 }
 
-void addQuotaEffect(const std::string &owner, const char *field, double was, double is,
+void addQuotaEffect(const std::string &owner, const char *field, double oldValue, double newValue,
                     std::vector<std::string> &effects)
 {
-    if (is < minRemainingFraction * was)
+    if (newValue < minRemainingFraction * oldValue)
         effects.push_back(owner + " loses more than half of its " + field);
 }
 
-void addAccessEffects(const v1::Organisation &was, const v1::Organisation &is,
+void addAccessEffects(const v1::Organisation &oldValue, const v1::Organisation &newValue,
                       std::vector<std::string> &effects)
 {
-    if (is.services().empty())
+    if (newValue.services().empty())
         return;
-    const std::string owner = "organisation '" + is.name() + "'";
-    const std::set<std::string> stillAllowed(is.services().begin(), is.services().end());
-    if (was.services().empty())
+    const std::string owner = "organisation '" + newValue.name() + "'";
+    const std::set<std::string> stillAllowed(newValue.services().begin(),
+                                             newValue.services().end());
+    if (oldValue.services().empty())
         effects.push_back(owner + " is cut off from every service that it does not list");
-    for (const std::string &service : was.services()) {
+    for (const std::string &service : oldValue.services()) {
         if (!stillAllowed.contains(service))
             effects.push_back(owner + " is cut off from service '" + service + "'");
     }
 }
 
-void addOrganisationEffects(const v1::Organisation &was, const v1::Organisation &is,
+void addOrganisationEffects(const v1::Organisation &oldValue, const v1::Organisation &newValue,
                             std::vector<std::string> &effects)
 {
-    const std::string owner = "organisation '" + is.name() + "'";
-    addQuotaEffect(owner, "requests_per_second", was.requests_per_second(),
-                   is.requests_per_second(), effects);
-    addQuotaEffect(owner, "concurrency", was.concurrency(), is.concurrency(), effects);
-    addAccessEffects(was, is, effects);
+    const std::string owner = "organisation '" + newValue.name() + "'";
+    addQuotaEffect(owner, "requests_per_second", oldValue.requests_per_second(),
+                   newValue.requests_per_second(), effects);
+    addQuotaEffect(owner, "concurrency", oldValue.concurrency(), newValue.concurrency(), effects);
+    addAccessEffects(oldValue, newValue, effects);
 }
 
 void addObjectEffects(const ConfigState &state, const v1::ObjectChange &entry,
--- a/Source/Version/ConfigObject.cpp
+++ b/Source/Version/ConfigObject.cpp
@@ -123,17 +123,18 @@
     if (after == nullptr)
         return {describeKey(key) + ": removed"};
     std::vector<std::string> lines;
-    const Json fresh = fieldsOf(after);
+    const Json newFields = fieldsOf(after);
     if (before == nullptr)
-        return {describeKey(key) + ": created with " + listOf(fresh)};
-    const Json old = fieldsOf(before);
-    Json pointers = old;
-    pointers.update(fresh);
+        return {describeKey(key) + ": created with " + listOf(newFields)};
+    const Json oldFields = fieldsOf(before);
+    Json pointers = oldFields;
+    pointers.update(newFields);
     for (const auto &[pointer, ignored] : pointers.items()) {
-        const std::string was = valueText(old, pointer);
-        const std::string is = valueText(fresh, pointer);
-        if (was != is && pointer != "/name")
-            lines.push_back(describeKey(key) + ": " + fieldName(pointer) + " " + was + " -> " + is);
+        const std::string oldText = valueText(oldFields, pointer);
+        const std::string newText = valueText(newFields, pointer);
+        if (oldText != newText && pointer != "/name")
+            lines.push_back(describeKey(key) + ": " + fieldName(pointer) + " " + oldText + " -> "
+                            + newText);
     }
     return lines;
 }
--- a/Tests/Version/ConfigReplayTest.cpp
+++ b/Tests/Version/ConfigReplayTest.cpp
@@ -56,7 +56,7 @@
 
 /// Appends a random record: a valid or invalid change, a duplicate, a cancellation, an outdated
 /// snapshot or unreadable data.
-void appendRandomRecord(MemoryLog &log, const ConfigState &state, const ConfigState &slow,
+void appendRandomRecord(MemoryLog &log, const ConfigState &state, const ConfigState &outdatedState,
                         std::vector<LogRecord> &sentRecords)
 {
     const int choice = *rc::gen::inRange(0, 14);
@@ -69,12 +69,12 @@
     const std::string id = "change-" + std::to_string(*rc::gen::inRange(0, 400));
     v1::ChangeRecord change = emptyChange(id, position);
     if (choice == 0 && !sentRecords.empty()) {
-        log.append(sentRecords[*rc::gen::inRange<std::size_t>(
-            0, sentRecords.size())]); // a duplicate, or delayed
+        // a duplicate, or delayed
+        log.append(sentRecords[*rc::gen::inRange<std::size_t>(0, sentRecords.size())]);
         return;
     }
     if (choice == 1) {
-        log.append(recordOf(0, snapshotOf(slow))); // behind the log's end
+        log.append(recordOf(0, snapshotOf(outdatedState))); // behind the log's end
         return;
     }
     if (choice == 2) {
