--- a/Source/Process/AdminProcess.cpp
+++ b/Source/Process/AdminProcess.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-/// Maximum time that one read waits for new records; a stop may take as long.
+/// Maximum time that one read waits for new records; the control thread checks for a stop after it.
 constexpr milliseconds maxReadWait(1000);
 /// Delay after a failed read, so that retries don't overload a failing log.
 constexpr milliseconds retryDelay(500);
@@ -80,8 +80,8 @@
                 "no operators are listed in the settings, everybody may change everything");
         BOOST_OUTCOME_TRY(server, serve());
         std::thread control([this] { followLog(); });
-        // Ready once the log has been replayed for the first time, or a read has failed.
-        firstPollDone_.get_future().wait();
+        // Ready once the state is usable, or a poll of the log has failed.
+        readyPromise_.get_future().wait();
         std::cout << readyLine_ << std::endl;
         int signal = 0;
         sigwait(&signals, &signal);
@@ -132,7 +132,7 @@
             metrics_.setFollower(follower_.status(), follower_.state()->objects.size());
             writeSnapshot();
             if (!isReady && (!polled || follower_.usable())) {
-                firstPollDone_.set_value();
+                readyPromise_.set_value();
                 isReady = true;
             }
         }
@@ -154,10 +154,11 @@
     {
         const FollowerStatus status = follower_.status();
         const bool caughtUp = follower_.caughtUp();
-        noteNewestSnapshot(schedule_, status.newestSnapshot, wasCaughtUp_, monotonicNow());
-        wasCaughtUp_ = caughtUp;
+        noteNewestSnapshot(newestSnapshot_, status.newestSnapshot, caughtUpBefore_, monotonicNow());
+        caughtUpBefore_ = caughtUp;
         const bool due = caughtUp && status.logReachable
-            && snapshotDue(schedule_, status.position, settings_.snapshotPeriod, monotonicNow());
+            && snapshotDue(newestSnapshot_, status.position, settings_.snapshotPeriod,
+                           monotonicNow());
         if (!due)
             return;
         v1::ConfigRecord record;
@@ -179,10 +180,10 @@
     AdminMetrics metrics_;
     MetricsServer metricsServer_{[this] { return metrics_.text(); }};
     AdminService service_;
-    SnapshotSchedule schedule_;
-    bool wasCaughtUp_ = false;
+    NewestSnapshot newestSnapshot_;
+    bool caughtUpBefore_ = false;
     std::atomic<bool> stopping_{false};
-    std::promise<void> firstPollDone_;
+    std::promise<void> readyPromise_;
     std::string readyLine_;
     std::shared_ptr<spdlog::logger> logger_ = loggerFor("admin");
 };
--- a/Source/Process/AdminProcess.h
+++ b/Source/Process/AdminProcess.h
@@ -14,7 +14,7 @@
     explicit AdminProcess(AdminSettings settings);
     ~AdminProcess();
 
-    /// Serves until SIGTERM or SIGINT, then waits for calls in flight to complete.
+    /// Serves until SIGTERM or SIGINT, then waits up to 5 s for calls in flight to complete.
     /// @return BadSettings if an address can't be bound or a file can't be read.
     Result<void> run();
 
--- a/Source/Process/AdminService.cpp
+++ b/Source/Process/AdminService.cpp
@@ -69,7 +69,7 @@
     }
 }
 
-v1::ApplyOutcome outcomeOf(SubmissionStep step)
+v1::ApplyOutcome applyOutcomeOf(SubmissionStep step)
 {
     if (step == SubmissionStep::Accepted)
         return v1::APPLY_OUTCOME_ACCEPTED;
@@ -86,7 +86,7 @@
 
 void fill(v1::ApplyReply &reply, const SubmissionDecision &decision, const std::string &changeId)
 {
-    reply.set_outcome(outcomeOf(decision.step));
+    reply.set_outcome(applyOutcomeOf(decision.step));
     reply.set_version(decision.version);
     reply.set_reason(decision.reason);
     reply.set_change_id(changeId);
@@ -140,10 +140,10 @@
                 "no operator's account fits the token; give yours with --token-file"};
     }
 
-    grpc::Status requireState() const
+    grpc::Status checkReady() const
     {
-        // An admin that can't follow the log would show an outdated state and could not read a
-        // submitted change back.
+        // A blocked admin would show an outdated state and could not read a submitted change back.
+        // An unreachable log is no reason to refuse a call here.
         const std::string blocked = follower_.status().blocked;
         if (!blocked.empty())
             return {grpc::StatusCode::FAILED_PRECONDITION, blocked};
@@ -158,7 +158,7 @@
                            const OperatorAccount *&account) const
     {
         const grpc::Status identified = identify(context, account);
-        return identified.ok() ? requireState() : identified;
+        return identified.ok() ? checkReady() : identified;
     }
 
     /// Sets the fields that the admin determines, then checks the change's shape and the account's
--- a/Source/Process/AdminSettings.h
+++ b/Source/Process/AdminSettings.h
@@ -21,10 +21,10 @@
     std::vector<std::string> peers;
     std::string logLevel = "info";
     bool jsonLogs = false;
-    /// Interval between snapshots; at most a quarter of the log's retention.
+    /// Interval between snapshots; must be at most a quarter of the log's retention.
     milliseconds snapshotPeriod{3600 * 1000};
-    /// Minimum rules version of submitted changes; stays at the old one until every process has
-    /// been upgraded.
+    /// Minimum rules version of submitted changes. The operator must keep the old one until every
+    /// process has been upgraded.
     std::uint32_t rulesVersion = 0;
     std::vector<OperatorAccount> operators;
     /// Certificate and key files in PEM; empty for cleartext.
--- a/Source/Process/ConfigFollower.cpp
+++ b/Source/Process/ConfigFollower.cpp
@@ -72,7 +72,7 @@
     bool usable() const
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        return wasCaughtUp_ || (adoptedPublished_ && !status_.logReachable);
+        return everCaughtUp_ || (adoptedPublished_ && !status_.logReachable);
     }
 
     std::shared_ptr<const ConfigState> waitBeyond(Offset position, milliseconds limit) const
@@ -84,8 +84,7 @@
 
 private:
     /// Makes the state available to other threads. A copy of the whole state takes milliseconds at
-    /// thousands of objects, so it is made at most once per poll and only after records were
-    /// replayed.
+    /// thousands of objects, so it is made only if the position changed.
     void publish(bool reachable)
     {
         std::shared_ptr<const ConfigState> stateCopy;
@@ -96,7 +95,7 @@
             published_ = std::move(stateCopy);
         publishedChanged_.notify_all();
         caughtUp_ = hasCaughtUp(cursor_);
-        wasCaughtUp_ |= caughtUp_;
+        everCaughtUp_ |= caughtUp_;
         adoptedPublished_ = adopted_;
         status_ = {cursor_.state.version, cursor_.state.position, cursor_.end,           reachable,
                    cursor_.blocked,       cursor_.diverged,       cursor_.newestSnapshot};
@@ -113,7 +112,7 @@
     std::shared_ptr<const ConfigState> published_;
     FollowerStatus status_;
     bool caughtUp_ = false;
-    bool wasCaughtUp_ = false;
+    bool everCaughtUp_ = false;
     bool adoptedPublished_ = false;
 };
 
--- a/Source/Process/ConfigFollower.h
+++ b/Source/Process/ConfigFollower.h
@@ -51,7 +51,8 @@
     /// before.
     std::shared_ptr<const ConfigState> state() const;
 
-    /// Whether all records that the log held at the first read have been replayed.
+    /// Whether all records that the log held at the first read have been replayed. False again
+    /// while records that the state needs have expired and no usable snapshot was found.
     bool caughtUp() const;
 
     /// Whether the state may be served: the follower has caught up with the log once, or has
--- a/Source/Process/ConfigReader.cpp
+++ b/Source/Process/ConfigReader.cpp
@@ -43,7 +43,7 @@
     void offer(v1::SnapshotRecord snapshot)
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        // Only the newest offer is kept, so memory stays bounded.
+        // Only the last offer is kept, so memory stays bounded.
         offered_ = std::move(snapshot);
         wake_.notify_all();
     }
--- a/Source/Process/ConfigReader.h
+++ b/Source/Process/ConfigReader.h
@@ -8,8 +8,8 @@
 
 namespace wisteria {
 
-/// Follows the configuration on a separate thread, since waiting for the log blocks, and passes
-/// each new version to a callback.
+/// Follows the configuration on a separate thread, since waiting for the log blocks. After each
+/// poll that changed the version, it passes the newest state to a callback.
 class ConfigReader
 {
 public:
@@ -19,7 +19,7 @@
     /// reader.
     /// @param follower Must outlive the reader; only the reader's thread polls it.
     /// @param changed Called on the reader's thread, first when the state becomes usable and then
-    /// for each new version.
+    /// after each poll that changed the version.
     ConfigReader(LogClient &log, ConfigFollower &follower, Changed changed);
 
     /// Stops the thread and waits for it, about a second at most.
--- a/Source/Version/ConfigCheck.cpp
+++ b/Source/Version/ConfigCheck.cpp
@@ -68,41 +68,41 @@
 }
 
 /// "service 'lookup' has retry_ratio 1.5", without trailing zeros.
-std::string describeField(const std::string &owner, const char *field, double value)
+std::string describeField(const std::string &subject, const char *field, double value)
 {
     std::string number = std::to_string(value);
     number.erase(number.find_last_not_of('0') + 1);
     if (number.back() == '.')
         number.pop_back();
-    return owner + " has " + field + " " + number;
+    return subject + " has " + field + " " + number;
 }
 
-Result<void> checkRange(const std::string &owner, const char *field, std::uint64_t value,
+Result<void> checkRange(const std::string &subject, const char *field, std::uint64_t value,
                         std::uint64_t low, std::uint64_t high)
 {
     if (value >= low && value <= high)
         return success();
-    return badInput(owner + " has " + field + " " + std::to_string(value),
+    return badInput(subject + " has " + field + " " + std::to_string(value),
                     "give a number from " + std::to_string(low) + " to " + std::to_string(high));
 }
 
-Result<void> checkExpertSpread(const std::string &owner, const v1::ExpertSpread &spread)
+Result<void> checkExpertSpread(const std::string &subject, const v1::ExpertSpread &spread)
 {
-    BOOST_OUTCOME_TRY(checkRange(owner, "expert_spread.ranks", spread.ranks(), 1, limits::ranks));
-    BOOST_OUTCOME_TRY(checkRange(owner, "expert_spread.layers", spread.layers(), 1, 1024));
-    BOOST_OUTCOME_TRY(checkRange(owner, "expert_spread.experts", spread.experts(), 1, 65536));
-    BOOST_OUTCOME_TRY(checkRange(owner, "expert_spread.slots_per_rank", spread.slots_per_rank(), 1,
-                                 spread.experts()));
+    BOOST_OUTCOME_TRY(checkRange(subject, "expert_spread.ranks", spread.ranks(), 1, limits::ranks));
+    BOOST_OUTCOME_TRY(checkRange(subject, "expert_spread.layers", spread.layers(), 1, 1024));
+    BOOST_OUTCOME_TRY(checkRange(subject, "expert_spread.experts", spread.experts(), 1, 65536));
+    BOOST_OUTCOME_TRY(checkRange(subject, "expert_spread.slots_per_rank", spread.slots_per_rank(),
+                                 1, spread.experts()));
     const std::uint64_t slots = std::uint64_t(spread.ranks()) * spread.slots_per_rank();
     if (slots < spread.experts()) {
-        return badInput(owner + " has " + std::to_string(slots) + " slots for "
+        return badInput(subject + " has " + std::to_string(slots) + " slots for "
                             + std::to_string(spread.experts()) + " experts",
                         "raise ranks or slots_per_rank until each expert has a slot");
     }
     if (!isWeight(spread.skew_weight()) || !isWeight(spread.cost_weight()))
-        return badInput(owner + " has a skew_weight or cost_weight below zero", "give 0 or more");
+        return badInput(subject + " has a skew_weight or cost_weight below zero", "give 0 or more");
     if (spread.skew_weight() + spread.cost_weight() <= 0) {
-        return badInput(owner + " has skew_weight and cost_weight that sum to nothing",
+        return badInput(subject + " has skew_weight and cost_weight that sum to nothing",
                         "give at least one of them a value above 0");
     }
     return success();
@@ -110,120 +110,121 @@
 
 Result<void> checkService(const v1::Service &service)
 {
-    const std::string owner = describeKey({v1::OBJECT_KIND_SERVICE, service.name()});
+    const std::string subject = describeKey({v1::OBJECT_KIND_SERVICE, service.name()});
     BOOST_OUTCOME_TRY(
-        checkRange(owner, "queue_bound", service.queue_bound(), 0, limits::queueBound));
-    BOOST_OUTCOME_TRY(checkRange(owner, "default_deadline_ms", service.default_deadline_ms(), 1,
+        checkRange(subject, "queue_bound", service.queue_bound(), 0, limits::queueBound));
+    BOOST_OUTCOME_TRY(checkRange(subject, "default_deadline_ms", service.default_deadline_ms(), 1,
                                  limits::deadlineMs));
     BOOST_OUTCOME_TRY(
-        checkRange(owner, "max_body_bytes", service.max_body_bytes(), 1, limits::bodyBytes));
+        checkRange(subject, "max_body_bytes", service.max_body_bytes(), 1, limits::bodyBytes));
     if (service.has_expert_spread())
-        return checkExpertSpread(owner, service.expert_spread());
+        return checkExpertSpread(subject, service.expert_spread());
     return success();
 }
 
 Result<void> checkBackendServer(const v1::BackendServer &server)
 {
-    const std::string owner = describeKey({v1::OBJECT_KIND_BACKEND_SERVER, server.name()});
+    const std::string subject = describeKey({v1::OBJECT_KIND_BACKEND_SERVER, server.name()});
     if (!isAddress(server.agent_address())) {
-        return badInput(owner + " has agent_address '" + server.agent_address() + "'",
+        return badInput(subject + " has agent_address '" + server.agent_address() + "'",
                         "give the agent's IP number and port, such as 10.0.0.7:7001");
     }
     if (server.failure_domain().size() > limits::nameLength
         || server.vm().size() > limits::nameLength) {
-        return badInput(owner + " has a vm or failure_domain longer than 63 characters",
+        return badInput(subject + " has a vm or failure_domain longer than 63 characters",
                         "use the platform's own short names");
     }
     if (server.failure_domain().empty()) {
-        return badInput(owner + " names no failure_domain",
+        return badInput(subject + " names no failure_domain",
                         "name the one its VM is in, so that requests are spread over all of them");
     }
     if (server.vm().empty())
-        return badInput(owner + " names no vm", "give the VM's name in the platform's list");
-    return checkRange(owner, "concurrency", server.concurrency(), 1, limits::concurrency);
+        return badInput(subject + " names no vm", "give the VM's name in the platform's list");
+    return checkRange(subject, "concurrency", server.concurrency(), 1, limits::concurrency);
 }
 
 Result<void> checkOrganisation(const v1::Organisation &organisation)
 {
-    const std::string owner = describeKey({v1::OBJECT_KIND_ORGANISATION, organisation.name()});
+    const std::string subject = describeKey({v1::OBJECT_KIND_ORGANISATION, organisation.name()});
     const double rate = organisation.requests_per_second();
     if (!std::isfinite(rate) || rate < 0 || rate > limits::requestsPerSecond)
-        return badInput(describeField(owner, "requests_per_second", rate),
+        return badInput(describeField(subject, "requests_per_second", rate),
                         "give a number above 0, up to 1000000");
     if (rate == 0) {
-        return badInput(owner + " has a quota of 0 requests_per_second",
+        return badInput(subject + " has a quota of 0 requests_per_second",
                         "give its real rate; to shut an organisation out, remove it");
     }
-    BOOST_OUTCOME_TRY(
-        checkRange(owner, "concurrency", organisation.concurrency(), 1, limits::concurrency * 10));
+    BOOST_OUTCOME_TRY(checkRange(subject, "concurrency", organisation.concurrency(), 1,
+                                 limits::concurrency * 10));
     if (organisation.burst() == 0) {
-        return badInput(owner + " has burst 0, with which no request is ever admitted",
+        return badInput(subject + " has burst 0, with which no request is ever admitted",
                         "give at least 1; a second's worth of requests is usual");
     }
     if (organisation.burst() > std::max(1.0, rate * limits::burstSeconds)) {
-        return badInput(owner + " has burst " + std::to_string(organisation.burst())
+        return badInput(subject + " has burst " + std::to_string(organisation.burst())
                             + ", more than ten minutes of its requests_per_second",
                         "lower burst or raise requests_per_second, the two contradict each other");
     }
     BOOST_OUTCOME_TRY(
-        checkRange(owner, "max_priority", organisation.max_priority(), 0, limits::priority));
+        checkRange(subject, "max_priority", organisation.max_priority(), 0, limits::priority));
     std::set<std::string> services;
     for (const std::string &service : organisation.services()) {
         if (!services.insert(service).second)
-            return badInput(owner + " lists service '" + service + "' twice", "list it once");
+            return badInput(subject + " lists service '" + service + "' twice", "list it once");
     }
     return success();
 }
 
 Result<void> checkRoutingPolicy(const v1::RoutingPolicy &policy)
 {
-    const std::string owner = describeKey({v1::OBJECT_KIND_ROUTING_POLICY, policy.name()});
+    const std::string subject = describeKey({v1::OBJECT_KIND_ROUTING_POLICY, policy.name()});
     const double weights[] = {policy.load_weight(), policy.affinity_weight(),
                               policy.domain_weight()};
     double sum = 0;
     for (const double weight : weights) {
         if (!isWeight(weight))
-            return badInput(owner + " has a weight that is below zero or no number",
+            return badInput(subject + " has a weight that is below zero or no number",
                             "give 0 or more");
         sum += weight;
     }
     if (sum <= 0) {
-        return badInput(owner + " has weights that sum to nothing",
+        return badInput(subject + " has weights that sum to nothing",
                         "give load_weight, affinity_weight or domain_weight a value above 0");
     }
     if (!isWeight(policy.retry_ratio()) || policy.retry_ratio() > 1)
-        return badInput(describeField(owner, "retry_ratio", policy.retry_ratio()),
+        return badInput(describeField(subject, "retry_ratio", policy.retry_ratio()),
                         "give a number from 0 to 1");
     BOOST_OUTCOME_TRY(
-        checkRange(owner, "max_attempts", policy.max_attempts(), 1, limits::attempts));
+        checkRange(subject, "max_attempts", policy.max_attempts(), 1, limits::attempts));
     if (policy.max_attempts() == 1 && policy.retry_ratio() > 0) {
-        return badInput(owner + " allows retries by retry_ratio but only 1 attempt",
+        return badInput(subject + " allows retries by retry_ratio but only 1 attempt",
                         "raise max_attempts, or set retry_ratio to 0");
     }
     if (policy.max_attempts() > 1 && policy.retry_ratio() == 0) {
-        return badInput(owner + " allows " + std::to_string(policy.max_attempts())
+        return badInput(subject + " allows " + std::to_string(policy.max_attempts())
                             + " attempts but a retry_ratio of 0",
                         "raise retry_ratio, or set max_attempts to 1");
     }
     if (policy.subset_size() == 1) {
         return badInput(
-            owner + " has subset_size 1, with which one dead backend server stops an entry",
+            subject + " has subset_size 1, with which one dead backend server stops an entry",
             "give 0 for all, or at least 2");
     }
     return success();
 }
 
-std::string describeReference(const ObjectKey &user, const ObjectKey &used)
+std::string describeReference(const ObjectKey &referrer, const ObjectKey &referenced)
 {
-    return describeKey(user) + " uses " + describeKey(used);
+    return describeKey(referrer) + " uses " + describeKey(referenced);
 }
 
-Result<void> checkExists(const ConfigView &after, const ObjectKey &user, const ObjectKey &used)
+Result<void> checkExists(const ConfigView &after, const ObjectKey &referrer,
+                         const ObjectKey &referenced)
 {
-    if (after.find(used) != nullptr)
+    if (after.find(referenced) != nullptr)
         return success();
     return failure(ErrorKind::Conflict,
-                   describeReference(user, used)
+                   describeReference(referrer, referenced)
                        + ", which does not exist; correct the name, or create it in "
                          "the same change");
 }
@@ -231,16 +232,16 @@
 /// Keys of the objects that one object references.
 std::vector<ObjectKey> referencesOf(const v1::Object &object)
 {
-    std::vector<ObjectKey> used;
+    std::vector<ObjectKey> referenced;
     if (object.has_service() && !object.service().routing_policy().empty())
-        used.push_back({v1::OBJECT_KIND_ROUTING_POLICY, object.service().routing_policy()});
+        referenced.push_back({v1::OBJECT_KIND_ROUTING_POLICY, object.service().routing_policy()});
     if (object.has_backend_server())
-        used.push_back({v1::OBJECT_KIND_SERVICE, object.backend_server().service()});
+        referenced.push_back({v1::OBJECT_KIND_SERVICE, object.backend_server().service()});
     if (object.has_organisation()) {
         for (const std::string &service : object.organisation().services())
-            used.push_back({v1::OBJECT_KIND_SERVICE, service});
+            referenced.push_back({v1::OBJECT_KIND_SERVICE, service});
     }
-    return used;
+    return referenced;
 }
 
 /// Refuses a change that removes an object which another object still references.
@@ -248,9 +249,9 @@
 {
     std::optional<std::string> problem;
     const auto visit = [&](const v1::Object &object) {
-        for (const ObjectKey &used : referencesOf(object)) {
-            if (!problem && removed.contains(used))
-                problem = describeReference(keyOf(object), used);
+        for (const ObjectKey &referenced : referencesOf(object)) {
+            if (!problem && removed.contains(referenced))
+                problem = describeReference(keyOf(object), referenced);
         }
     };
     after.forEach(v1::OBJECT_KIND_SERVICE, visit);
@@ -266,13 +267,14 @@
 
 Result<void> checkAddressesUnique(const ConfigView &after)
 {
-    std::map<std::string, std::string> owners;
+    std::map<std::string, std::string> serverByAddress;
     std::optional<std::string> problem;
     after.forEach(v1::OBJECT_KIND_BACKEND_SERVER, [&](const v1::Object &object) {
         const v1::BackendServer &server = object.backend_server();
-        const auto [owner, inserted] = owners.emplace(server.agent_address(), server.name());
+        const auto [firstServer, inserted] =
+            serverByAddress.emplace(server.agent_address(), server.name());
         if (!inserted && !problem) {
-            problem = "backend servers '" + owner->second + "' and '" + server.name()
+            problem = "backend servers '" + firstServer->second + "' and '" + server.name()
                 + "' share agent_address " + server.agent_address();
         }
     });
@@ -368,8 +370,8 @@
         }
         touchesBackendServers |= entry.kind() == v1::OBJECT_KIND_BACKEND_SERVER;
         BOOST_OUTCOME_TRY(checkSameService(before, entry.content()));
-        for (const ObjectKey &used : referencesOf(entry.content())) {
-            BOOST_OUTCOME_TRY(checkExists(after, {entry.kind(), entry.name()}, used));
+        for (const ObjectKey &referenced : referencesOf(entry.content())) {
+            BOOST_OUTCOME_TRY(checkExists(after, {entry.kind(), entry.name()}, referenced));
         }
     }
     if (!removed.empty()) {
--- a/Source/Version/ConfigEffect.cpp
+++ b/Source/Version/ConfigEffect.cpp
@@ -53,36 +53,37 @@
     }
 }
 
-void addQuotaEffect(const std::string &owner, const char *field, double oldValue, double newValue,
+void addQuotaEffect(const std::string &subject, const char *field, double oldValue, double newValue,
                     std::vector<std::string> &effects)
 {
     if (newValue < minRemainingFraction * oldValue)
-        effects.push_back(owner + " loses more than half of its " + field);
+        effects.push_back(subject + " loses more than half of its " + field);
 }
 
 void addAccessEffects(const v1::Organisation &oldValue, const v1::Organisation &newValue,
                       std::vector<std::string> &effects)
 {
+    // An empty list allows every service.
     if (newValue.services().empty())
         return;
-    const std::string owner = "organisation '" + newValue.name() + "'";
+    const std::string subject = "organisation '" + newValue.name() + "'";
     const std::set<std::string> stillAllowed(newValue.services().begin(),
                                              newValue.services().end());
     if (oldValue.services().empty())
-        effects.push_back(owner + " is cut off from every service that it does not list");
+        effects.push_back(subject + " is cut off from every service that it does not list");
     for (const std::string &service : oldValue.services()) {
         if (!stillAllowed.contains(service))
-            effects.push_back(owner + " is cut off from service '" + service + "'");
+            effects.push_back(subject + " is cut off from service '" + service + "'");
     }
 }
 
 void addOrganisationEffects(const v1::Organisation &oldValue, const v1::Organisation &newValue,
                             std::vector<std::string> &effects)
 {
-    const std::string owner = "organisation '" + newValue.name() + "'";
-    addQuotaEffect(owner, "requests_per_second", oldValue.requests_per_second(),
+    const std::string subject = "organisation '" + newValue.name() + "'";
+    addQuotaEffect(subject, "requests_per_second", oldValue.requests_per_second(),
                    newValue.requests_per_second(), effects);
-    addQuotaEffect(owner, "concurrency", oldValue.concurrency(), newValue.concurrency(), effects);
+    addQuotaEffect(subject, "concurrency", oldValue.concurrency(), newValue.concurrency(), effects);
     addAccessEffects(oldValue, newValue, effects);
 }
 
--- a/Source/Version/ConfigEffect.h
+++ b/Source/Version/ConfigEffect.h
@@ -7,7 +7,8 @@
 
 namespace wisteria {
 
-/// Effects of a change on callers and capacity, beyond the fields that it sets.
+/// Far-reaching effects of a change: it more than halves a service's capacity or an organisation's
+/// quota, cuts callers off, or creates a removed object again.
 struct ChangeEffects
 {
     /// One sentence for operators per far-reaching effect, in a fixed order.
--- a/Source/Version/ConfigFile.h
+++ b/Source/Version/ConfigFile.h
@@ -28,7 +28,8 @@
 std::string renderConfigFile(Offset asOf, const std::vector<v1::VersionedObject> &objects);
 
 /// Runs the checks that need no configuration in force.
-/// @return One message for each mistake.
+/// @return The first mistake of each invalid object, one message per repeated object, and one if
+/// the file is empty.
 std::vector<std::string> checkConfigFile(const ConfigFile &file);
 
 /// Returns the change that applies the file to the current configuration. Objects that the file
--- a/Source/Version/ConfigHistory.h
+++ b/Source/Version/ConfigHistory.h
@@ -19,13 +19,14 @@
     std::vector<std::string> differences;
 };
 
-/// Replays a batch as replayBatch() does and calls `onChange` with each change that was accepted or
-/// refused.
+/// Replays a batch as replayBatch() does and calls `onChange` with each replayed change, also with
+/// malformed and repeated ones. Changes that are read while a snapshot is searched are left out.
 /// @return As replayBatch().
 Result<bool> replayWithHistory(ReplayCursor &cursor, const LogBatch &batch,
                                const std::function<void(HistoryItem)> &onChange);
 
-/// Differences that a change would make to a state, one line per field.
+/// Differences that a change would make to a state: one line per field, or one line for an object
+/// that is created or removed.
 std::vector<std::string> differencesOf(const ConfigState &state, const v1::ChangeRecord &change);
 
 } // namespace wisteria
--- a/Source/Version/ConfigObject.h
+++ b/Source/Version/ConfigObject.h
@@ -24,7 +24,7 @@
 bool sameContent(const v1::Object &left, const v1::Object &right);
 
 /// One line for each field that differs, such as "service 'lookup': queue_bound 8 -> 16". `before`
-/// is null for an object that is created, `after` for one that is removed.
+/// is null for an object that is created, `after` for one that is removed; either gives one line.
 std::vector<std::string> differencesOf(const ObjectKey &key, const v1::Object *before,
                                        const v1::Object *after);
 
--- a/Source/Version/ConfigReplay.cpp
+++ b/Source/Version/ConfigReplay.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Whether the log still holds each record that follows the snapshot.
+/// Whether the log still holds each record after the snapshot's as_of.
 ///
 /// Guards against a change that was accepted between a snapshot's as_of and the snapshot's own
 /// offset and whose record has expired. A reader that adopted the snapshot would miss the change
@@ -46,7 +46,8 @@
     if (!parsed.ParseFromString(record.data) || !parsed.has_snapshot())
         return;
     cursor.newestSnapshot = std::max<Offset>(cursor.newestSnapshot, parsed.snapshot().as_of());
-    // A snapshot of another reader whose state differs is detected here; the replayed state stays.
+    // Detects another reader whose state differs; the replayed state stays. Only a snapshot
+    // directly after its as_of can be compared.
     if (parsed.snapshot().as_of() + 1 == record.offset
         && parsed.snapshot().SerializeAsString() != snapshotOf(cursor.state).SerializeAsString())
         cursor.diverged = true;
--- a/Source/Version/ConfigReplay.h
+++ b/Source/Version/ConfigReplay.h
@@ -29,12 +29,13 @@
 /// Offset of the next record to read.
 Offset nextOffset(const ReplayCursor &cursor);
 
-/// Whether all records that the log held at the first read have been replayed.
+/// Whether all records that the log held at the first read have been replayed. False again while
+/// records that the state needs have expired and no usable snapshot was found.
 bool hasCaughtUp(const ReplayCursor &cursor);
 
 /// Replays the result of a read from nextOffset(), or searches it for a usable snapshot.
-/// @return Whether the version changed. Conflict if the log's end is before a position that was
-/// already replayed.
+/// @return Whether the version changed. Conflict if the log no longer reaches the newest replayed
+/// record.
 Result<bool> replayBatch(ReplayCursor &cursor, const LogBatch &batch);
 
 } // namespace wisteria
--- a/Source/Version/ConfigState.cpp
+++ b/Source/Version/ConfigState.cpp
@@ -79,7 +79,7 @@
         return {false, "this record was replayed before"};
     v1::ConfigRecord parsed;
     const bool readable = parsed.ParseFromString(record.data);
-    // Guards against an old release that rejects, or partly understands, a record of a newer one
+    // Guards against an old release that refuses, or partly understands, a record of a newer one
     // and from then on holds another state than all other processes. It stops before the record
     // instead, keeps its last state and reports the remedy.
     if (readable && parsed.has_change() && parsed.change().rules_version() > newestRules) {
--- a/Source/Version/ConfigState.h
+++ b/Source/Version/ConfigState.h
@@ -32,7 +32,7 @@
     std::map<std::string, v1::SeenChange> seen;
     /// Offsets at which objects were removed; kept for the newest changeWindow offsets.
     std::map<ObjectKey, Offset> removed;
-    /// Highest rules version of an accepted change.
+    /// Rules version of the newest accepted change; changes with a lower one are refused.
     std::uint32_t rulesVersion = 0;
 };
 
@@ -40,7 +40,7 @@
 struct ReplayVerdict
 {
     bool accepted = false;
-    /// Why it was rejected and what to do; empty when accepted.
+    /// Why the record was refused or is undecided, and the remedy; empty when accepted.
     std::string reason;
     /// Set if the record needs newer rules than this program has; the state stays before it.
     bool undecided = false;
--- a/Source/Version/Snapshot.cpp
+++ b/Source/Version/Snapshot.cpp
@@ -44,23 +44,23 @@
     return true;
 }
 
-void noteNewestSnapshot(SnapshotSchedule &schedule, Offset newest, bool fresh, TimePoint now)
+void noteNewestSnapshot(NewestSnapshot &newestSnapshot, Offset asOf, bool fresh, TimePoint now)
 {
-    if (newest <= schedule.newest)
+    if (asOf <= newestSnapshot.asOf)
         return;
-    schedule.newest = newest;
+    newestSnapshot.asOf = asOf;
     if (fresh)
-        schedule.seenAt = now;
+        newestSnapshot.seenAt = now;
 }
 
-bool snapshotDue(const SnapshotSchedule &schedule, Offset position, milliseconds period,
+bool snapshotDue(const NewestSnapshot &newestSnapshot, Offset position, milliseconds period,
                  TimePoint now)
 {
     if (position == 0)
         return false;
-    if (position >= schedule.newest + recordsPerSnapshot)
+    if (position >= newestSnapshot.asOf + recordsPerSnapshot)
         return true;
-    return !schedule.seenAt || now - *schedule.seenAt >= period;
+    return !newestSnapshot.seenAt || now - *newestSnapshot.seenAt >= period;
 }
 
 } // namespace wisteria
--- a/Source/Version/Snapshot.h
+++ b/Source/Version/Snapshot.h
@@ -16,10 +16,10 @@
 bool adoptSnapshot(ConfigState &state, const v1::SnapshotRecord &snapshot);
 
 /// The newest snapshot in the log, by any writer, as seen by a process that writes snapshots.
-struct SnapshotSchedule
+struct NewestSnapshot
 {
     /// `as_of` of the newest snapshot; 0 for none.
-    Offset newest = 0;
+    Offset asOf = 0;
     /// When this process first saw it; nothing if it was already there at the start of the process,
     /// so that its age is unknown.
     std::optional<TimePoint> seenAt;
@@ -32,12 +32,13 @@
 /// Records the newest snapshot of the log.
 /// @param fresh Whether it was appended after this process had caught up. A snapshot that is found
 /// while the log is first read may be of any age.
-void noteNewestSnapshot(SnapshotSchedule &schedule, Offset newest, bool fresh, TimePoint now);
+void noteNewestSnapshot(NewestSnapshot &newestSnapshot, Offset asOf, bool fresh, TimePoint now);
 
 /// Whether a snapshot should be appended now. Records expire even if the configuration does not
 /// change, and a process that starts after that would find no state. A snapshot is therefore due
-/// every `period` (a quarter of the log's retention) even without changes.
-bool snapshotDue(const SnapshotSchedule &schedule, Offset position, milliseconds period,
+/// every `period` (at most a quarter of the log's retention) even without changes, and immediately
+/// if the age of the newest one is unknown.
+bool snapshotDue(const NewestSnapshot &newestSnapshot, Offset position, milliseconds period,
                  TimePoint now);
 
 } // namespace wisteria
--- a/Source/Version/VmList.cpp
+++ b/Source/Version/VmList.cpp
@@ -32,6 +32,7 @@
     view.listed = list;
     for (const auto &[name, state] : list)
         view.lastListedAt[name] = now;
+    // Bounds the memory. A dropped VM counts as gone, since lists arrived for over vmGoneAfter.
     std::erase_if(view.lastListedAt,
                   [&](const auto &vm) { return now - vm.second > 2 * vmGoneAfter; });
 }
--- a/Source/Version/VmList.h
+++ b/Source/Version/VmList.h
@@ -12,8 +12,8 @@
 /// State of a VM in the platform's list.
 enum class VmState { Live, Leaving };
 
-/// Maximum age of the data in one answer of the platform's list; one answer may be older than the
-/// answer before it by as much.
+/// Maximum age of the data in an answer of the platform's list. Answers may arrive out of order, so
+/// an answer may be older than the previous one by up to this time.
 constexpr milliseconds maxVmListLag{30'000};
 /// A VM that no list named for this long is gone. It is twice the lag: a VM that just started may
 /// be missing for one lag, and a list may arrive after a newer one.
@@ -25,13 +25,15 @@
     std::map<std::string, VmState> listed;
     /// When each VM was last named by a list.
     std::map<std::string, TimePoint> lastListedAt;
-    /// When the first and the newest list arrived; no VM ages while no list arrives.
+    /// When the first and the newest list arrived. Absence is measured up to the newest list, so no
+    /// VM becomes gone while no list arrives.
     TimePoint firstListAt;
     TimePoint newestListAt;
     bool hasList = false;
 };
 
-/// Reads the platform's answer, {"vms":[{"name":"vm1","state":"live"}]}.
+/// Parses the platform's answer, {"vms":[{"name":"vm1","state":"live"}]}. Every state other than
+/// "leaving" counts as live.
 /// @return BadInput if it can't be parsed.
 Result<std::map<std::string, VmState>> parseVmList(const std::string &body);
 
--- a/Tests/Process/ChangeSubmissionTest.cpp
+++ b/Tests/Process/ChangeSubmissionTest.cpp
@@ -179,8 +179,9 @@
                                      [](AppendFault fault) { return fault == AppendFault::Down; });
     if (allDown && faults.crashTick == 0)
         REQUIRE(answer == SubmissionStep::Refused);
-    const bool noFaults = faults.appends[0] == AppendFault::None && faults.reads == ReadFault::None;
-    if (noFaults && faults.concurrentChange == ConcurrentChange::None)
+    const bool firstTryWorks =
+        faults.appends[0] == AppendFault::None && faults.reads == ReadFault::None;
+    if (firstTryWorks && faults.concurrentChange == ConcurrentChange::None)
         REQUIRE(answer == SubmissionStep::Accepted);
     // A later outcome request, after all appends have arrived, returns the state in force.
     const SubmissionStep outcome = outcomeOf("change-ours", finalState).step;
--- a/Tests/Process/ConfigFollowerTest.cpp
+++ b/Tests/Process/ConfigFollowerTest.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("A follower is usable only once it has caught up with the log")
+TEST_CASE("A follower with a reachable log is usable only once it has caught up")
 {
     MemoryLogClient log;
     append(log, serviceRecord(1, "lookup"));
@@ -63,9 +63,9 @@
     CHECK(starting.state()->objects.size() == 2);
 }
 
-// Needed records have expired and no snapshot is left. An empty configuration would refuse every
-// caller as unknown; a partial one would be worse.
-TEST_CASE("A follower that finds neither records nor a snapshot is blocked and not usable")
+// Needed records have expired and the log holds no snapshot. An empty configuration would refuse
+// every caller as unknown; a partial one would lack objects unnoticed.
+TEST_CASE("A follower whose first records have expired without a snapshot is blocked")
 {
     MemoryLogClient log;
     append(log, serviceRecord(1, "lookup"));
@@ -80,8 +80,9 @@
     CHECK(follower.status().blocked.find("take the state from a peer") != std::string::npos);
 }
 
-// A running process of an older release reads the first record of a release with new rules. It must
-// not drop its callers, so it keeps its state and reports that it is blocked.
+// A running process of an older release reads the first record of a release with new rules, or
+// records that it needs have expired. It must not drop its callers, so it keeps its state and
+// reports that it is blocked.
 TEST_CASE("A running process keeps its state when it can't follow the log any more")
 {
     MemoryLogClient log;
--- a/Tests/Version/ConfigMistakesTest.cpp
+++ b/Tests/Version/ConfigMistakesTest.cpp
@@ -65,7 +65,7 @@
 {
     std::string title;
     std::string file;
-    std::string signature;
+    std::string fieldOverride;
 };
 
 Mistake mistakeFrom(const std::string &line)
@@ -74,18 +74,18 @@
     Mistake mistake;
     std::getline(fields, mistake.title, '|');
     std::getline(fields, mistake.file, '|');
-    std::getline(fields, mistake.signature, '|');
+    std::getline(fields, mistake.fieldOverride, '|');
     return mistake;
 }
 
-v1::ChangeRecord signedChange(const Mistake &mistake, const v1::ChangeRecord &content)
+v1::ChangeRecord changeWithOverride(const Mistake &mistake, const v1::ChangeRecord &content)
 {
     v1::ChangeRecord change = emptyChange("change-mistake");
     change.MergeFrom(content);
-    const std::size_t equals = mistake.signature.find('=');
-    const std::string field = mistake.signature.substr(0, equals);
+    const std::size_t equals = mistake.fieldOverride.find('=');
+    const std::string field = mistake.fieldOverride.substr(0, equals);
     const std::string value =
-        equals == std::string::npos ? "" : mistake.signature.substr(equals + 1);
+        equals == std::string::npos ? "" : mistake.fieldOverride.substr(equals + 1);
     if (field == "confirm")
         change.set_confirm_digest(value);
     if (field == "why")
@@ -106,7 +106,8 @@
     const std::vector<std::string> offline = checkConfigFile(file.value());
     if (!offline.empty())
         return "check: " + offline.front();
-    v1::ChangeRecord change = signedChange(mistake, changeFromFile(file.value(), state.objects));
+    v1::ChangeRecord change =
+        changeWithOverride(mistake, changeFromFile(file.value(), state.objects));
     if (change.base_position() == 0)
         change.set_base_position(state.position);
     const auto shape = checkShape(change);
--- a/Tests/Version/ConfigRecords.h
+++ b/Tests/Version/ConfigRecords.h
@@ -54,7 +54,7 @@
     return object;
 }
 
-/// A change with all fields set except its object changes.
+/// A valid change that contains no object changes yet.
 inline v1::ChangeRecord emptyChange(const std::string &id, Offset basePosition = 0)
 {
     v1::ChangeRecord change;
--- a/Tests/Version/ConfigReplayTest.cpp
+++ b/Tests/Version/ConfigReplayTest.cpp
@@ -109,7 +109,7 @@
 // Operators make concurrent changes, answers to appends are lost and the appends are repeated, some
 // arrive late, and the log drops old records. Every process must still have the same configuration,
 // and its version must never decrease.
-TEST_CASE("Any log gives every reader the same state, and versions never decrease")
+TEST_CASE("Every reader that catches up has the same state, and versions never decrease")
 {
     std::size_t snapshotReaders = 0;
     std::size_t blockedReaders = 0;
@@ -210,8 +210,8 @@
     CHECK(bytesOf(reader.state) == bytesOf(referenceReplay(log)));
 }
 
-// During an outage of the log, a process fetches the configuration from peers, one of which has an
-// older version.
+// A peer or the log offers a snapshot that is older, or has a later position but a lower version,
+// or is of rules that this program does not know. None of them replaces the state.
 TEST_CASE("A snapshot of a peer or the log never reverts a state to an older version")
 {
     MemoryLog log;
@@ -278,9 +278,9 @@
     }
 }
 
-// An append is delayed in the network for days and written after its change id was dropped from the
-// state. Its object has been removed meanwhile and would be created again.
-TEST_CASE("A change that was prepared before the change window is refused")
+// An append is delayed in the network, up to days, and written after its object was removed, or
+// even after its change id was dropped from the state. The object would be created again.
+TEST_CASE("A delayed change does not recreate a removed object, inside or beyond the window")
 {
     ConfigState state;
     v1::ChangeRecord create = emptyChange("change-create");
@@ -304,7 +304,7 @@
     CHECK(state.removed.empty());
 }
 
-TEST_CASE("A cancelled change is refused whenever it arrives")
+TEST_CASE("A change that arrives after its cancellation is refused")
 {
     ConfigState state;
     v1::ChangeRecord cancel = emptyChange("change-lost");
@@ -338,13 +338,13 @@
 TEST_CASE("A snapshot is due by count, by time, and at once when the age of the last is unknown")
 {
     const TimePoint start;
-    SnapshotSchedule schedule;
-    CHECK_FALSE(snapshotDue(schedule, 0, seconds(60), start));
-    CHECK(snapshotDue(schedule, 1, seconds(60), start));
-    noteNewestSnapshot(schedule, 1, false, start);
-    CHECK(snapshotDue(schedule, 2, seconds(60), start));
-    noteNewestSnapshot(schedule, 2, true, start);
-    CHECK_FALSE(snapshotDue(schedule, 3, seconds(60), start + seconds(59)));
-    CHECK(snapshotDue(schedule, 3, seconds(60), start + seconds(60)));
-    CHECK(snapshotDue(schedule, 2 + recordsPerSnapshot, seconds(60), start));
+    NewestSnapshot newestSnapshot;
+    CHECK_FALSE(snapshotDue(newestSnapshot, 0, seconds(60), start));
+    CHECK(snapshotDue(newestSnapshot, 1, seconds(60), start));
+    noteNewestSnapshot(newestSnapshot, 1, false, start);
+    CHECK(snapshotDue(newestSnapshot, 2, seconds(60), start));
+    noteNewestSnapshot(newestSnapshot, 2, true, start);
+    CHECK_FALSE(snapshotDue(newestSnapshot, 3, seconds(60), start + seconds(59)));
+    CHECK(snapshotDue(newestSnapshot, 3, seconds(60), start + seconds(60)));
+    CHECK(snapshotDue(newestSnapshot, 2 + recordsPerSnapshot, seconds(60), start));
 }
--- a/Tests/Version/EntryMembersTest.cpp
+++ b/Tests/Version/EntryMembersTest.cpp
@@ -41,7 +41,7 @@
 // An entry's VM fails without a leaving record. If the other entries kept counting it, each would
 // get a smaller share of an organisation's budget, and the organisation would be refused at half
 // its limit for minutes.
-TEST_CASE("An entry without a record counts as gone after a timeout while the log answers")
+TEST_CASE("An entry without a further record times out while the log answers")
 {
     EntryMembers members;
     updateMembers(members, batchOf({memberRecord(1, "a", 1)}), start);
@@ -55,7 +55,7 @@
 
 // An outage of the log lasts longer than the timeout of an entry. If entries timed out in it, each
 // entry would see only itself and grant an organisation's whole limit.
-TEST_CASE("No entry times out during an outage of the log")
+TEST_CASE("An entry is kept at the first read after an outage of the log")
 {
     EntryMembers members;
     updateMembers(members, batchOf({memberRecord(1, "a", 1)}), start);
