--- a/Tests/Sessions/CallerGoldenTest.cpp
+++ b/Tests/Sessions/CallerGoldenTest.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Values that differ from run to run.
-std::string masked(std::string text)
+/// Replaces values that differ between runs by placeholders.
+std::string maskVariableParts(std::string text)
 {
     const std::vector<std::pair<std::regex, std::string>> masks = {
         {std::regex(R"("request_id":"[0-9a-f]{32}")"), R"("request_id":"<id>")"},
@@ -28,13 +28,14 @@
     return text;
 }
 
-/// What a caller sent and got, as people read it.
+/// Readable record of the answers that a caller got.
 class Transcript
 {
 public:
-    void note(const std::string &title, const HttpAnswer &answer)
+    void append(const std::string &title, const HttpAnswer &answer)
     {
-        text_ << "# " << title << "\n" << answer.status << (answer.whole ? "" : " (cut)") << "\n";
+        text_ << "# " << title << "\n"
+              << answer.status << (answer.complete ? "" : " (cut)") << "\n";
         for (const char *name : {"content-type", "retry-after"}) {
             const auto found = answer.headers.find(name);
             if (found != answer.headers.end())
@@ -43,19 +44,19 @@
         text_ << answer.body << (answer.body.ends_with('\n') ? "\n" : "\n\n");
     }
 
-    std::string text() const { return masked(text_.str()); }
+    std::string text() const { return maskVariableParts(text_.str()); }
 
 private:
     std::ostringstream text_;
 };
 
-/// Asks as callers are told to: again when the request was not run for want of a backend server,
-/// which on a busy machine a late heartbeat is enough for.
-HttpAnswer askAsTold(const TestSystem &system, std::size_t entry, const CallerAsk &ask)
+/// Sends a request, and retries while it is refused for lack of a backend server. On a busy
+/// machine, one late heartbeat is enough for such a refusal.
+HttpAnswer sendWithRetry(const TestSystem &system, std::size_t entry, const TestRequest &request)
 {
     HttpAnswer answer;
     eventually([&] {
-        answer = system.ask(entry, ask);
+        answer = system.send(entry, request);
         return answer.json().value("reason", "") != "no_backend_server";
     });
     return answer;
@@ -70,50 +71,52 @@
 
 } // namespace
 
-// A caller's day from the first answer to each kind of refusal. The file is compared as a whole, so
-// that a change of any word that callers see is seen in review.
-TEST_CASE("A caller's session reads as its golden file")
+// Covers answers and each kind of refusal. The whole file is compared, so that a review shows every
+// change of a text that callers see.
+TEST_CASE("The answers that a caller gets match the golden file")
 {
     TestSystem system({.entries = 2, .backendServers = 1, .concurrency = 1, .queueBound = 1});
-    v1::Object shop;
-    shop.mutable_organisation()->set_name("corner-shop");
-    shop.mutable_organisation()->set_requests_per_second(0.1);
-    shop.mutable_organisation()->set_burst(1);
-    shop.mutable_organisation()->set_concurrency(1);
-    system.waitInForce(system.apply({shop}));
-    system.waitForKeys();
+    v1::Object organisation;
+    organisation.mutable_organisation()->set_name("corner-shop");
+    organisation.mutable_organisation()->set_requests_per_second(0.1);
+    organisation.mutable_organisation()->set_burst(1);
+    organisation.mutable_organisation()->set_concurrency(1);
+    system.waitUntilInForce(system.apply({organisation}));
+    system.waitUntilKeysAccepted();
 
-    Transcript session;
-    session.note("A quotation", askAsTold(system, 0, {.body = "400 bolts M8"}));
-    session.note("A streamed notice",
-                 askAsTold(system, 1, {.body = R"({"stream":2,"tag":"notice"})"}));
-    const CallerAsk door{.body = "open door 7", .key = freshKey()};
-    session.note("A door release, not idempotent", askAsTold(system, 0, door));
-    CallerAsk repeat = door;
+    Transcript transcript;
+    transcript.append("A quotation", sendWithRetry(system, 0, {.body = "400 bolts M8"}));
+    transcript.append("A streamed notice",
+                      sendWithRetry(system, 1, {.body = R"({"stream":2,"tag":"notice"})"}));
+    const TestRequest doorRelease{.body = "open door 7", .key = freshKey()};
+    transcript.append("A door release, not idempotent", sendWithRetry(system, 0, doorRelease));
+    TestRequest repeat = doorRelease;
     repeat.attempt = 2;
-    session.note("Its repeat through the other entry", askAsTold(system, 1, repeat));
+    transcript.append("Its repeat through the other entry", sendWithRetry(system, 1, repeat));
     repeat.body = "open door 8";
-    session.note("Another request under the same key", askAsTold(system, 1, repeat));
-    session.note("A key that is no UUID of version 7", askAsTold(system, 0, {.key = "door-7"}));
-    session.note("A service that nobody declared", askAsTold(system, 0, {.service = "haircuts"}));
-    session.note("An organisation that nobody declared",
-                 askAsTold(system, 0, {.organisation = "x"}));
-    session.note("A number that is none",
-                 askAsTold(system, 0, {.headers = {"Wisteria-Priority: high"}}));
-    system.ask(0, {.organisation = "corner-shop"});
-    session.note("An organisation above its rate", system.ask(0, {.organisation = "corner-shop"}));
+    transcript.append("Another request under the same key", sendWithRetry(system, 1, repeat));
+    transcript.append("A key that is not a UUID of version 7",
+                      sendWithRetry(system, 0, {.key = "door-7"}));
+    transcript.append("An undeclared service", sendWithRetry(system, 0, {.service = "haircuts"}));
+    transcript.append("An undeclared organisation",
+                      sendWithRetry(system, 0, {.organisation = "x"}));
+    transcript.append("A priority that is not a number",
+                      sendWithRetry(system, 0, {.headers = {"Wisteria-Priority: high"}}));
+    system.send(0, {.organisation = "corner-shop"});
+    transcript.append("An organisation above its rate",
+                      system.send(0, {.organisation = "corner-shop"}));
     v1::Object drained;
-    *drained.mutable_backend_server() = system.declaredBackend(0);
+    *drained.mutable_backend_server() = system.backendObject(0);
     drained.mutable_backend_server()->set_draining(true);
     system.apply({drained});
-    HttpAnswer none;
+    HttpAnswer refusal;
     eventually([&] {
-        none = system.ask(0, {});
-        return none.json().value("reason", "") == "no_backend_server";
+        refusal = system.send(0, {});
+        return refusal.json().value("reason", "") == "no_backend_server";
     });
-    session.note("The only backend server is drained", none);
+    transcript.append("The only backend server is drained", refusal);
     const std::string path = WISTERIA_TEST_DATA "/Golden/caller.txt";
     if (std::getenv("WISTERIA_UPDATE_GOLDEN"))
-        std::ofstream(path) << session.text();
-    CHECK(session.text() == readGolden(path));
+        std::ofstream(path) << transcript.text();
+    CHECK(transcript.text() == readGolden(path));
 }
--- a/Tests/Sessions/ChildProcess.cpp
+++ b/Tests/Sessions/ChildProcess.cpp
@@ -15,13 +15,14 @@
 
 namespace {
 
-constexpr seconds readyLimit(20);
+constexpr seconds readyTimeout(20);
 
-/// Waits until a descriptor can be read.
-bool waitReadable(int descriptor, TimePoint limit)
+/// Waits until a descriptor is readable.
+/// @return False when it is not before the deadline.
+bool waitReadable(int descriptor, TimePoint deadline)
 {
     pollfd entry = {descriptor, POLLIN, 0};
-    const auto left = remaining(monotonicNow(), limit);
+    const auto left = remaining(monotonicNow(), deadline);
     return poll(&entry, 1, static_cast<int>(left.count())) > 0;
 }
 
@@ -32,11 +33,11 @@
     const int errors = open(errorFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     dup2(output, STDOUT_FILENO);
     dup2(errors, STDERR_FILENO);
-    std::vector<char *> words = {const_cast<char *>(path.c_str())};
+    std::vector<char *> argv = {const_cast<char *>(path.c_str())};
     for (const std::string &argument : arguments)
-        words.push_back(const_cast<char *>(argument.c_str()));
-    words.push_back(nullptr);
-    execv(path.c_str(), words.data());
+        argv.push_back(const_cast<char *>(argument.c_str()));
+    argv.push_back(nullptr);
+    execv(path.c_str(), argv.data());
     _exit(127);
 }
 
@@ -46,21 +47,21 @@
                            const std::string &errorFile)
     : program_(program)
 {
-    int ends[2] = {};
-    if (pipe2(ends, O_CLOEXEC) != 0)
-        throw std::runtime_error("no pipe for " + program);
+    int pipeEnds[2] = {};
+    if (pipe2(pipeEnds, O_CLOEXEC) != 0)
+        throw std::runtime_error("can't create a pipe for " + program);
     pid_ = fork();
     if (pid_ == 0)
-        runChild(std::string(WISTERIA_PROGRAMS) + "/" + program, arguments, ends[1], errorFile);
-    close(ends[1]);
+        runChild(std::string(WISTERIA_PROGRAMS) + "/" + program, arguments, pipeEnds[1], errorFile);
+    close(pipeEnds[1]);
     try {
-        readReadyLine(ends[0]);
+        readReadyLine(pipeEnds[0]);
     } catch (...) {
-        close(ends[0]);
+        close(pipeEnds[0]);
         kill();
         throw;
     }
-    close(ends[0]);
+    close(pipeEnds[0]);
 }
 
 ChildProcess::~ChildProcess()
@@ -70,20 +71,20 @@
 
 void ChildProcess::readReadyLine(int descriptor)
 {
-    const TimePoint limit = monotonicNow() + readyLimit;
+    const TimePoint deadline = monotonicNow() + readyTimeout;
     std::string text;
     while (text.find('\n') == std::string::npos) {
         char byte = 0;
-        if (!waitReadable(descriptor, limit) || read(descriptor, &byte, 1) != 1)
+        if (!waitReadable(descriptor, deadline) || read(descriptor, &byte, 1) != 1)
             throw std::runtime_error(program_ + " did not become ready, it printed: " + text);
         text += byte;
     }
-    std::istringstream words(text);
-    std::string word;
-    while (words >> word) {
-        const std::size_t equals = word.find('=');
+    std::istringstream fields(text);
+    std::string field;
+    while (fields >> field) {
+        const std::size_t equals = field.find('=');
         if (equals != std::string::npos)
-            ready_[word.substr(0, equals)] = word.substr(equals + 1);
+            ready_[field.substr(0, equals)] = field.substr(equals + 1);
     }
 }
 
@@ -110,10 +111,10 @@
     pid_ = -1;
 }
 
-int ChildProcess::waitForExit(seconds limit)
+int ChildProcess::waitForExit(seconds timeout)
 {
     const int descriptor = static_cast<int>(syscall(SYS_pidfd_open, pid_, 0));
-    const bool ended = waitReadable(descriptor, monotonicNow() + limit);
+    const bool ended = waitReadable(descriptor, monotonicNow() + timeout);
     close(descriptor);
     if (!ended)
         throw std::runtime_error(program_ + " did not end in time");
--- a/Tests/Sessions/ChildProcess.h
+++ b/Tests/Sessions/ChildProcess.h
@@ -10,14 +10,14 @@
 
 namespace wisteria::sessions {
 
-/// A process that a test started. It is killed and reaped at the latest when the object goes, and
-/// the kernel kills it when the test itself dies.
+/// A process that a test started. The destructor kills and reaps it if it still runs, and the
+/// kernel kills it when the test process dies.
 class ChildProcess
 {
 public:
     /// Starts a program of the build and waits for its "ready" line.
-    /// @param errorFile Where its log lines go.
-    /// @throw std::runtime_error when it isn't ready in time.
+    /// @param errorFile File that its standard error is appended to.
+    /// @throw std::runtime_error when it is not ready within 20 s.
     ChildProcess(const std::string &program, const std::vector<std::string> &arguments,
                  const std::string &errorFile);
     ~ChildProcess();
@@ -25,17 +25,18 @@
     ChildProcess &operator=(const ChildProcess &) = delete;
 
     pid_t pid() const { return pid_; }
-    /// Value of a word "name=value" of the ready line, such as "peer".
+    /// Value of a field "name=value" of the ready line, such as "peer".
     const std::string &address(const std::string &name) const { return ready_.at(name); }
 
     void signal(int number) const;
-    /// Whether it has ended by itself.
+    /// Whether it has exited or was killed by a signal; does not reap it.
     bool hasEnded() const;
-    /// Kills it and waits until it is gone.
+    /// Kills it with SIGKILL and reaps it.
     void kill();
-    /// Waits for its own end.
-    /// @return Exit code; -1 when a signal ended it; nothing is assumed after the limit: it throws.
-    int waitForExit(seconds limit = seconds(20));
+    /// Waits until it exits.
+    /// @return Exit code, or -1 when a signal killed it.
+    /// @throw std::runtime_error when it still runs after the timeout.
+    int waitForExit(seconds timeout = seconds(20));
 
 private:
     void readReadyLine(int descriptor);
--- a/Tests/Sessions/ConfigSessionTest.cpp
+++ b/Tests/Sessions/ConfigSessionTest.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-/// A folder for settings and files that goes with the test.
-class Folder
+/// A temporary folder for settings and files; the destructor removes it.
+class TemporaryFolder
 {
 public:
-    Folder()
+    TemporaryFolder()
     {
         std::string pattern = std::filesystem::temp_directory_path() / "wisteria-XXXXXX";
         path_ = mkdtemp(pattern.data());
     }
-    ~Folder() { std::filesystem::remove_all(path_); }
+    ~TemporaryFolder() { std::filesystem::remove_all(path_); }
     std::string write(const std::string &name, const std::string &text) const
     {
         const std::string file = path_ + "/" + name;
@@ -36,19 +36,20 @@
     std::string path_;
 };
 
-/// What a command line printed and returned.
+/// Output and exit code of a wisteriactl command.
 struct CtlAnswer
 {
     std::string text;
     int code = 0;
 };
 
-/// A wisteria-admin process, asked as wisteriactl asks it.
+/// A wisteria-admin process that is called through wisteriactl's command code.
 class AdminUnderTest
 {
 public:
-    AdminUnderTest(const Folder &folder, const std::string &name, const std::string &logAddress,
-                   const std::vector<std::string> &peers = {}, int snapshotEverySeconds = 3600)
+    AdminUnderTest(const TemporaryFolder &folder, const std::string &name,
+                   const std::string &logAddress, const std::vector<std::string> &peers = {},
+                   int snapshotEverySeconds = 3600)
         : process("wisteria-admin",
                   {"--settings",
                    folder.write(name + ".json",
@@ -77,8 +78,9 @@
     ChildProcess process;
 };
 
-/// A file that creates one organisation.
-std::string organisationFile(const Folder &folder, const std::string &name)
+/// Writes a configuration file that declares one organisation.
+/// @return Its path.
+std::string organisationFile(const TemporaryFolder &folder, const std::string &name)
 {
     return folder.write(name + ".conf.json",
                         R"({"organisations":[{"name":")" + name
@@ -95,12 +97,13 @@
 
 } // namespace
 
-// An operator applies a change; the log writes it but its answer never comes. The operator must
-// hear what is true, and the change must be in force once.
-TEST_CASE("A change whose append lost its answer is reported as in force, and is so once")
+// The log appends a change but its answer is lost. The admin must still report the change as in
+// force, and the history must contain it once.
+TEST_CASE("A change is reported as in force, and applied once, when the log's answer to the append "
+          "is lost")
 {
     const TestSystem system({.entries = 1, .backendServers = 1});
-    const Folder folder;
+    const TemporaryFolder folder;
     auto &log = const_cast<TestSystem &>(system).log();
     const AdminUnderTest admin(folder, "admin-1", log.address("address"));
     system.setLogFaults({{"append", "lose_answer"}});
@@ -113,12 +116,13 @@
     CHECK(countOf("\n" + history.text, "\nversion ") == 1);
 }
 
-// The log is out. An admin's VM is replaced meanwhile; the new one must show the configuration in
-// force, accept nothing and say so, and go on when the log is back.
-TEST_CASE("An admin that starts in an outage shows the peers' configuration and accepts nothing")
+// An admin's VM is replaced while the log is down. The new admin must show the configuration in
+// force, refuse changes with a reason, and accept them when the log is back.
+TEST_CASE(
+    "An admin that starts while the log is down shows its peers' configuration and refuses changes")
 {
     TestSystem system({.entries = 2, .backendServers = 2});
-    const Folder folder;
+    const TemporaryFolder folder;
     system.setLogFaults({{"append", "down"}, {"read", "down"}});
     const AdminUnderTest admin(folder, "admin-2", system.log().address("address"),
                                {system.entry(0).address("peer"), system.entry(1).address("peer")});
@@ -137,11 +141,11 @@
     CHECK(admin.run({"status"}).code == ctl::ExitDone);
 }
 
-// The log writes a change but its answer is lost, and the admin dies before it can read back. The
-// operator hears "not yet known" and repeats the change with its id at another admin.
-TEST_CASE("A change that is repeated at another admin after the first died has effect once")
+// The log appends a change but its answer is lost, and the admin dies before it can read the log.
+// The operator gets "not yet known" and repeats the change with the same id at another admin.
+TEST_CASE("A change that is repeated at another admin after the first one died is applied once")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     const ChildProcess log("standin-log", {}, folder.write("log.err", ""));
     const std::string url = "http://" + log.address("address");
     AdminUnderTest first(folder, "admin-1", log.address("address"));
@@ -166,11 +170,11 @@
     CHECK(countOf("\n" + history.text, "\nversion ") == 1);
 }
 
-// The log keeps few records. Every admin is replaced in turn; each must find the newest accepted
-// state by a snapshot, or refuse to show any.
-TEST_CASE("An admin that starts after the records expired has the newest state or none")
+// The log retains few records, so an admin that starts later must load a snapshot. It must show the
+// newest accepted configuration or refuse to show any, never an older one.
+TEST_CASE("An admin that starts after records expired shows the newest configuration or none")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     const ChildProcess log("standin-log", {"--retain", "8"}, folder.write("log.err", ""));
     const std::string address = log.address("address");
     const AdminUnderTest writer(folder, "admin-1", address, {}, 1);
@@ -178,17 +182,17 @@
         const std::string file = organisationFile(folder, "loja-" + std::to_string(i));
         REQUIRE(writer.run({"apply", file}).code == ctl::ExitDone);
     }
-    const AdminUnderTest replaced(folder, "admin-2", address);
-    CtlAnswer present;
+    const AdminUnderTest replacement(folder, "admin-2", address);
+    CtlAnswer current;
     const std::string newest = writer.run({"get"}).text;
     CHECK(eventually([&] {
-        present = replaced.run({"get"});
-        const bool refuses = present.code == ctl::ExitRefused;
-        const bool whole = present.text.find("\"loja-0\"") != std::string::npos
-            && present.text.find("\"loja-11\"") != std::string::npos;
-        if (!refuses && !whole)
-            FAIL("an older state was shown: " + present.text);
+        current = replacement.run({"get"});
+        const bool refuses = current.code == ctl::ExitRefused;
+        const bool complete = current.text.find("\"loja-0\"") != std::string::npos
+            && current.text.find("\"loja-11\"") != std::string::npos;
+        if (!refuses && !complete)
+            FAIL("an older configuration was shown: " + current.text);
         return !refuses;
     }));
-    CHECK(present.text.substr(present.text.find('\n', 2)) == newest.substr(newest.find('\n', 2)));
+    CHECK(current.text.substr(current.text.find('\n', 2)) == newest.substr(newest.find('\n', 2)));
 }
--- a/Tests/Sessions/FlowLink.cpp
+++ b/Tests/Sessions/FaultProxy.cpp
@@ -1,4 +1,4 @@
-#include "Sessions/FlowLink.h"
+#include "Sessions/FaultProxy.h"
 
 #include <map>
 #include <thread>
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::size_t pieceBytes = 65536;
+constexpr std::size_t bufferBytes = 65536;
 
 sockaddr_in addressOf(const std::string &text)
 {
@@ -26,7 +26,9 @@
     return address;
 }
 
-/// Writes all; the small messages of tests never fill a socket's buffer for long.
+/// Writes all bytes. Blocks while the socket's buffer is full, which the small messages of tests
+/// never cause for long.
+/// @return False when the connection is broken.
 bool writeAll(int descriptor, const char *data, std::size_t size)
 {
     while (size > 0) {
@@ -41,18 +43,18 @@
 
 } // namespace
 
-class FlowLink::Private
+class FaultProxy::Private
 {
 public:
     explicit Private(const std::string &target)
         : target_(addressOf(target)), listener_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
     {
-        sockaddr_in own = addressOf("127.0.0.1:0");
-        bind(listener_, reinterpret_cast<sockaddr *>(&own), sizeof(own));
+        sockaddr_in local = addressOf("127.0.0.1:0");
+        bind(listener_, reinterpret_cast<sockaddr *>(&local), sizeof(local));
         listen(listener_, SOMAXCONN);
-        socklen_t size = sizeof(own);
-        getsockname(listener_, reinterpret_cast<sockaddr *>(&own), &size);
-        address_ = "127.0.0.1:" + std::to_string(ntohs(own.sin_port));
+        socklen_t size = sizeof(local);
+        getsockname(listener_, reinterpret_cast<sockaddr *>(&local), &size);
+        address_ = "127.0.0.1:" + std::to_string(ntohs(local.sin_port));
         loop_.watch(listener_, {.read = true}, [this](Interest) { acceptOne(); });
         thread_ = std::thread([this] { loop_.run(); });
     }
@@ -75,9 +77,9 @@
         peers_.clear();
     }
 
-    void holdAll(bool held)
+    void stallAll(bool stalled)
     {
-        held_ = held;
+        stalled_ = stalled;
         for (const auto &[descriptor, peer] : peers_)
             watch(descriptor);
     }
@@ -88,19 +90,19 @@
 private:
     void acceptOne()
     {
-        const int caller = accept4(listener_, nullptr, nullptr, SOCK_CLOEXEC);
-        const int callee = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        connect(callee, reinterpret_cast<const sockaddr *>(&target_), sizeof(target_));
-        peers_[caller] = callee;
-        peers_[callee] = caller;
-        watch(caller);
-        watch(callee);
+        const int client = accept4(listener_, nullptr, nullptr, SOCK_CLOEXEC);
+        const int server = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+        connect(server, reinterpret_cast<const sockaddr *>(&target_), sizeof(target_));
+        peers_[client] = server;
+        peers_[server] = client;
+        watch(client);
+        watch(server);
     }
 
     void watch(int descriptor)
     {
         loop_.unwatch(descriptor);
-        if (!held_)
+        if (!stalled_)
             loop_.watch(descriptor, {.read = true},
                         [this, descriptor](Interest) { forward(descriptor); });
     }
@@ -108,9 +110,9 @@
     void forward(int from)
     {
         const int to = peers_.at(from);
-        char piece[pieceBytes];
-        const ssize_t size = recv(from, piece, sizeof(piece), 0);
-        if (size > 0 && writeAll(to, piece, static_cast<std::size_t>(size)))
+        char buffer[bufferBytes];
+        const ssize_t size = recv(from, buffer, sizeof(buffer), 0);
+        if (size > 0 && writeAll(to, buffer, static_cast<std::size_t>(size)))
             return;
         for (const int descriptor : {from, to}) {
             loop_.unwatch(descriptor);
@@ -122,27 +124,27 @@
     const sockaddr_in target_;
     const int listener_;
     std::map<int, int> peers_;
-    bool held_ = false;
+    bool stalled_ = false;
     std::thread thread_;
 };
 
-FlowLink::FlowLink(const std::string &target) : private_(std::make_unique<Private>(target)) { }
+FaultProxy::FaultProxy(const std::string &target) : private_(std::make_unique<Private>(target)) { }
 
-FlowLink::~FlowLink() = default;
+FaultProxy::~FaultProxy() = default;
 
-const std::string &FlowLink::address() const
+const std::string &FaultProxy::address() const
 {
     return private_->address_;
 }
 
-void FlowLink::cut()
+void FaultProxy::cut()
 {
     private_->loop_.post([this] { private_->closeAll(); });
 }
 
-void FlowLink::hold(bool held)
+void FaultProxy::stall(bool stalled)
 {
-    private_->loop_.post([this, held] { private_->holdAll(held); });
+    private_->loop_.post([this, stalled] { private_->stallAll(stalled); });
 }
 
 } // namespace wisteria::sessions
--- /dev/null
+++ b/Tests/Sessions/FaultProxy.h
@@ -0,0 +1,31 @@
+#pragma once
+
+#include <memory>
+#include <string>
+
+namespace wisteria::sessions {
+
+/// TCP proxy that simulates network faults: forwards connections to a target, and stalls or cuts
+/// them when a test asks for it.
+class FaultProxy
+{
+public:
+    /// @param target "IP:PORT".
+    explicit FaultProxy(const std::string &target);
+    ~FaultProxy();
+
+    /// Listening address, "127.0.0.1:PORT".
+    const std::string &address() const;
+
+    /// Closes all connections. New connections are forwarded.
+    void cut();
+
+    /// Stops or resumes forwarding on all connections, like a network that drops every packet.
+    void stall(bool stalled);
+
+private:
+    class Private;
+    std::unique_ptr<Private> private_;
+};
+
+} // namespace wisteria::sessions
--- a/Tests/Sessions/FaultSessionTest.cpp
+++ b/Tests/Sessions/FaultSessionTest.cpp
@@ -11,22 +11,24 @@
 
 const std::string heldBody = R"({"hold":"gate","tag":"held"})";
 constexpr milliseconds shortDeadline(2000);
-/// What a caller may wait beyond its deadline on a busy machine.
-constexpr milliseconds slack(1500);
+/// Time that an answer may arrive after the deadline on a busy machine.
+constexpr milliseconds deadlineTolerance(1500);
 
 std::string outcomeOf(const HttpAnswer &answer)
 {
     return answer.status == 200 ? "answer" : answer.json().value("outcome", "none");
 }
 
-/// Asks for a key until its end is known; a repeat may never run it, whatever it is told.
-HttpAnswer repeatUntilAnswered(const TestSystem &system, std::size_t entry, CallerAsk ask)
+/// Repeats a keyed request until it is answered with 200 or 4 s have passed. No repeat may run the
+/// request again.
+/// @return The last answer.
+HttpAnswer repeatUntilAnswered(const TestSystem &system, std::size_t entry, TestRequest request)
 {
     HttpAnswer answer;
     eventually(
         [&] {
-            ++ask.attempt;
-            answer = system.ask(entry, ask);
+            ++request.attempt;
+            answer = system.send(entry, request);
             return answer.status == 200;
         },
         milliseconds(4000));
@@ -35,134 +37,137 @@
 
 } // namespace
 
-// The clerk's quotation stops in the middle. The backend server died while it streamed; the clerk
-// must see that the answer is cut, never a short one that looks whole.
-TEST_CASE("A stream whose backend server dies is seen as cut")
+// A backend server dies while it streams an answer. The caller must see that the answer is cut off,
+// never a short answer that looks complete.
+TEST_CASE("A caller sees a stream as cut off when its backend server dies")
 {
     TestSystem system({.backendServers = 1});
-    auto answer = system.askLater(0, {.body = R"({"stream":3,"hold":"gate"})"});
-    system.backend(system.waitForHolder()).kill();
+    auto answer = system.sendAsync(0, {.body = R"({"stream":3,"hold":"gate"})"});
+    system.backend(system.waitForHeldRequest()).kill();
     const HttpAnswer cut = answer.get();
-    CHECK_FALSE((cut.status == 200 && cut.whole));
+    CHECK_FALSE((cut.status == 200 && cut.complete));
 }
 
-// A door opens twice. The backend server dies after the lock was released and before it answered;
-// the caller repeats the key, and the restarted backend server would run it again.
+// Guards against a door that opens twice: the backend server dies after it ran the request and
+// before it answered, the caller repeats the key, and the restarted backend server runs it again.
 TEST_CASE("A keyed request whose backend server died is never run again")
 {
     TestSystem system({.entries = 2, .backendServers = 2});
-    system.waitForKeys();
-    const CallerAsk ask{.body = heldBody, .key = freshKey()};
-    auto first = system.askLater(0, ask);
-    const std::size_t holder = system.waitForHolder();
+    system.waitUntilKeysAccepted();
+    const TestRequest request{.body = heldBody, .key = freshKey()};
+    auto first = system.sendAsync(0, request);
+    const std::size_t holder = system.waitForHeldRequest();
     system.backend(holder).kill();
     CHECK(outcomeOf(first.get()) == "unknown");
     system.restartBackend(holder);
     system.release("gate");
     for (int attempt = 2; attempt < 6; ++attempt) {
-        CallerAsk repeat = ask;
+        TestRequest repeat = request;
         repeat.attempt = attempt;
-        const HttpAnswer answer = system.ask(static_cast<std::size_t>(attempt % 2), repeat);
+        const HttpAnswer answer = system.send(static_cast<std::size_t>(attempt % 2), repeat);
         CHECK(outcomeOf(answer) != "answer");
         CHECK(outcomeOf(answer) != "not_run");
     }
-    CHECK(system.runs("keys", ask.key) == 0);
+    CHECK(system.runs("keys", request.key) == 0);
 }
 
-// The same door, but the agent dies: what it knew of the key is lost, and the repeat comes to its
-// successor, which remembers nothing.
+// Guards against a second run when the agent dies: its record of the key is lost, and the repeat
+// reaches the restarted agent, which has no record of it.
 TEST_CASE("A keyed request whose agent died is never run again")
 {
     TestSystem system({.entries = 2, .backendServers = 2});
-    system.waitForKeys();
-    const CallerAsk ask{.body = heldBody, .key = freshKey()};
-    auto first = system.askLater(0, ask);
-    const std::size_t holder = system.waitForHolder();
+    system.waitUntilKeysAccepted();
+    const TestRequest request{.body = heldBody, .key = freshKey()};
+    auto first = system.sendAsync(0, request);
+    const std::size_t holder = system.waitForHeldRequest();
     system.agent(holder).kill();
     CHECK(outcomeOf(first.get()) == "unknown");
     system.restartAgent(holder);
     system.release("gate");
     for (int attempt = 2; attempt < 8; ++attempt) {
-        CallerAsk repeat = ask;
+        TestRequest repeat = request;
         repeat.attempt = attempt;
-        const HttpAnswer answer = system.ask(static_cast<std::size_t>(attempt % 2), repeat);
+        const HttpAnswer answer = system.send(static_cast<std::size_t>(attempt % 2), repeat);
         CHECK(outcomeOf(answer) != "not_run");
     }
-    CHECK(system.runs("keys", ask.key) == 1);
+    CHECK(system.runs("keys", request.key) == 1);
 }
 
-// The caller's connection breaks with its entry, it repeats through the other entry while the
-// first run still goes on, and gets the first run's answer in the end.
-TEST_CASE("When an entry dies, the repeat through the other one gets the first run's answer")
+// An entry dies while it forwards a request. The caller repeats the key through the other entry
+// while the first run is still in progress, and must get that run's answer.
+TEST_CASE("A repeat through another entry gets the first run's answer when an entry dies")
 {
     TestSystem system({.entries = 2, .backendServers = 2});
-    system.waitForKeys();
-    const CallerAsk ask{.body = heldBody, .key = freshKey()};
-    auto first = system.askLater(0, ask);
-    system.waitForHolder();
+    system.waitUntilKeysAccepted();
+    const TestRequest request{.body = heldBody, .key = freshKey()};
+    auto first = system.sendAsync(0, request);
+    system.waitForHeldRequest();
     system.entry(0).kill();
-    CHECK_FALSE(first.get().whole);
-    CallerAsk repeat = ask;
+    CHECK_FALSE(first.get().complete);
+    TestRequest repeat = request;
     repeat.attempt = 2;
-    CHECK(outcomeOf(system.ask(1, repeat)) != "not_run");
+    CHECK(outcomeOf(system.send(1, repeat)) != "not_run");
     system.release("gate");
     const HttpAnswer answer = repeatUntilAnswered(system, 1, repeat);
     CHECK(answer.status == 200);
-    CHECK(answer.json().value("key", "") == ask.key);
-    CHECK(system.runs("keys", ask.key) == 1);
+    CHECK(answer.json().value("key", "") == request.key);
+    CHECK(system.runs("keys", request.key) == 1);
 }
 
-// A VM stalls: its agent is frozen with a request inside. Its caller must not wait past its
-// deadline, others must not notice, and after the thaw the late answer goes to nobody else.
-TEST_CASE("A frozen agent costs its own caller a truthful refusal, and nobody else anything")
+// A VM stalls: its agent is stopped (SIGSTOP) with a request in flight. The caller must be refused
+// by its deadline with outcome "unknown", and other callers must get their own answers. After the
+// agent resumes, its late answer must reach no other caller, and no repeat may be reported as not
+// run.
+TEST_CASE("A stalled agent makes its own request end as unknown and affects no other request")
 {
     TestSystem system({.entries = 2, .backendServers = 3});
-    system.waitForKeys();
-    const CallerAsk ask{.body = heldBody, .key = freshKey(), .deadline = shortDeadline};
-    auto first = system.askLater(0, ask);
-    const std::size_t holder = system.waitForHolder();
+    system.waitUntilKeysAccepted();
+    const TestRequest request{.body = heldBody, .key = freshKey(), .deadline = shortDeadline};
+    auto first = system.sendAsync(0, request);
+    const std::size_t holder = system.waitForHeldRequest();
     system.agent(holder).signal(SIGSTOP);
     const HttpAnswer refusal = first.get();
     CHECK(outcomeOf(refusal) == "unknown");
-    CHECK(refusal.took < shortDeadline + slack);
+    CHECK(refusal.duration < shortDeadline + deadlineTolerance);
     for (int i = 0; i < 20; ++i) {
         const std::string body = "other " + std::to_string(i);
         const HttpAnswer other =
-            system.ask(static_cast<std::size_t>(i % 2), {.body = body, .deadline = seconds(5)});
+            system.send(static_cast<std::size_t>(i % 2), {.body = body, .deadline = seconds(5)});
         CHECK(outcomeOf(other) == "answer");
         CHECK(other.json().value("echo", "") == body);
     }
     system.agent(holder).signal(SIGCONT);
     system.release("gate");
     for (int attempt = 2; attempt < 6; ++attempt) {
-        CallerAsk repeat = ask;
+        TestRequest repeat = request;
         repeat.attempt = attempt;
-        CHECK(outcomeOf(system.ask(1, repeat)) != "not_run");
+        CHECK(outcomeOf(system.send(1, repeat)) != "not_run");
     }
-    CHECK(system.runs("keys", ask.key) == 1);
+    CHECK(system.runs("keys", request.key) == 1);
 }
 
-// The engine stalls and answers nothing more, but its process lives and so does its agent.
-TEST_CASE("Nobody waits past the deadline for a stalled backend server")
+// The backend server stops answering, but its process and its agent still run. Requests must end by
+// their deadline, and most must be answered by the other backend server.
+TEST_CASE("No caller waits past its deadline for a stalled backend server")
 {
     TestSystem system({.backendServers = 2, .concurrency = 2});
     system.backend(0).signal(SIGSTOP);
     int answered = 0;
     for (int i = 0; i < 12; ++i) {
-        const HttpAnswer answer = system.ask(0, {.deadline = shortDeadline});
+        const HttpAnswer answer = system.send(0, {.deadline = shortDeadline});
         CHECK(answer.status != 0);
-        CHECK(answer.took < shortDeadline + slack);
+        CHECK(answer.duration < shortDeadline + deadlineTolerance);
         answered += answer.status == 200 ? 1 : 0;
     }
     CHECK(answered >= 9);
     system.backend(0).signal(SIGCONT);
 }
 
-// The log is down for an hour. Nobody who is being served may notice.
-TEST_CASE("Requests go on while the log is down, slow or loses answers")
+// An outage of the log must not affect requests, which need only the configuration in force.
+TEST_CASE("Requests are answered while the log is down, slow or loses answers")
 {
     TestSystem system({.entries = 2, .backendServers = 2});
-    system.waitForKeys();
+    system.waitUntilKeysAccepted();
     const std::vector<nlohmann::json> faults = {
         {{"append", "down"}, {"read", "down"}},
         {{"append", "slow"}, {"read", "slow"}, {"slow_ms", 500}},
@@ -171,11 +176,11 @@
     for (const auto &fault : faults) {
         system.setLogFaults(fault);
         for (std::size_t i = 0; i < 6; ++i) {
-            CHECK(outcomeOf(system.ask(i % 2, {})) == "answer");
-            CHECK(outcomeOf(system.ask(i % 2, {.key = freshKey()})) == "answer");
+            CHECK(outcomeOf(system.send(i % 2, {})) == "answer");
+            CHECK(outcomeOf(system.send(i % 2, {.key = freshKey()})) == "answer");
         }
     }
     system.log().kill();
-    CHECK(outcomeOf(system.ask(0, {})) == "answer");
-    CHECK(outcomeOf(system.ask(1, {.key = freshKey()})) == "answer");
+    CHECK(outcomeOf(system.send(0, {})) == "answer");
+    CHECK(outcomeOf(system.send(1, {.key = freshKey()})) == "answer");
 }
--- a/Tests/Sessions/HttpCall.cpp
+++ b/Tests/Sessions/HttpCall.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-std::size_t takeBody(char *data, std::size_t size, std::size_t count, void *answer)
+std::size_t appendBody(char *data, std::size_t size, std::size_t count, void *answer)
 {
     static_cast<HttpAnswer *>(answer)->body.append(data, size * count);
     return size * count;
 }
 
-std::size_t takeHeader(char *data, std::size_t size, std::size_t count, void *answer)
+std::size_t storeHeader(char *data, std::size_t size, std::size_t count, void *answer)
 {
     std::string line(data, size * count);
     const std::size_t colon = line.find(": ");
@@ -37,37 +37,38 @@
     return parsed.is_object() ? parsed : nlohmann::json::object();
 }
 
-HttpAnswer call(const HttpAsk &ask)
+HttpAnswer call(const HttpCallRequest &request)
 {
     HttpAnswer answer;
     const std::unique_ptr<CURL, void (*)(CURL *)> handle(curl_easy_init(), curl_easy_cleanup);
     curl_slist *headers = curl_slist_append(nullptr, "Expect:");
-    for (const std::string &header : ask.headers)
+    for (const std::string &header : request.headers)
         headers = curl_slist_append(headers, header.c_str());
-    curl_easy_setopt(handle.get(), CURLOPT_URL, ask.url.c_str());
+    curl_easy_setopt(handle.get(), CURLOPT_URL, request.url.c_str());
     curl_easy_setopt(handle.get(), CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(handle.get(), CURLOPT_HTTPHEADER, headers);
-    if (ask.method != "GET") {
-        curl_easy_setopt(handle.get(), CURLOPT_POSTFIELDSIZE, static_cast<long>(ask.body.size()));
-        curl_easy_setopt(handle.get(), CURLOPT_POSTFIELDS, ask.body.data());
-        curl_easy_setopt(handle.get(), CURLOPT_CUSTOMREQUEST, ask.method.c_str());
+    if (request.method != "GET") {
+        curl_easy_setopt(handle.get(), CURLOPT_POSTFIELDSIZE,
+                         static_cast<long>(request.body.size()));
+        curl_easy_setopt(handle.get(), CURLOPT_POSTFIELDS, request.body.data());
+        curl_easy_setopt(handle.get(), CURLOPT_CUSTOMREQUEST, request.method.c_str());
     }
-    curl_easy_setopt(handle.get(), CURLOPT_TIMEOUT_MS, static_cast<long>(ask.timeout.count()));
-    curl_easy_setopt(handle.get(), CURLOPT_WRITEFUNCTION, takeBody);
+    curl_easy_setopt(handle.get(), CURLOPT_TIMEOUT_MS, static_cast<long>(request.timeout.count()));
+    curl_easy_setopt(handle.get(), CURLOPT_WRITEFUNCTION, appendBody);
     curl_easy_setopt(handle.get(), CURLOPT_WRITEDATA, &answer);
-    curl_easy_setopt(handle.get(), CURLOPT_HEADERFUNCTION, takeHeader);
+    curl_easy_setopt(handle.get(), CURLOPT_HEADERFUNCTION, storeHeader);
     curl_easy_setopt(handle.get(), CURLOPT_HEADERDATA, &answer);
     const TimePoint begin = monotonicNow();
-    answer.whole = curl_easy_perform(handle.get()) == CURLE_OK;
-    answer.took = std::chrono::duration_cast<milliseconds>(monotonicNow() - begin);
+    answer.complete = curl_easy_perform(handle.get()) == CURLE_OK;
+    answer.duration = std::chrono::duration_cast<milliseconds>(monotonicNow() - begin);
     curl_easy_getinfo(handle.get(), CURLINFO_RESPONSE_CODE, &answer.status);
     curl_slist_free_all(headers);
     return answer;
 }
 
-std::future<HttpAnswer> callLater(const HttpAsk &ask)
+std::future<HttpAnswer> callAsync(const HttpCallRequest &request)
 {
-    return std::async(std::launch::async, [ask] { return call(ask); });
+    return std::async(std::launch::async, [request] { return call(request); });
 }
 
 } // namespace wisteria::sessions
--- a/Tests/Sessions/HttpCall.h
+++ b/Tests/Sessions/HttpCall.h
@@ -12,7 +12,7 @@
 namespace wisteria::sessions {
 
 /// One HTTP call of a test.
-struct HttpAsk
+struct HttpCallRequest
 {
     std::string url;
     std::string method = "POST";
@@ -21,25 +21,26 @@
     milliseconds timeout = milliseconds(30000);
 };
 
-/// What came back.
+/// The answer to one HTTP call.
 struct HttpAnswer
 {
-    /// 0 when no answer came at all.
+    /// HTTP status; 0 when no answer arrived.
     long status = 0;
-    /// False when the answer was cut or the call timed out.
-    bool whole = false;
+    /// False when the answer was cut off or the call timed out.
+    bool complete = false;
     std::string body;
-    /// Names in lower case.
+    /// Header values by header name in lower case.
     std::map<std::string, std::string> headers;
-    milliseconds took = milliseconds(0);
+    milliseconds duration = milliseconds(0);
 
-    /// The body as JSON; an empty object when it isn't.
+    /// The body as JSON; an empty object when it is not a JSON object.
     nlohmann::json json() const;
 };
 
-HttpAnswer call(const HttpAsk &ask);
+/// Sends a request and waits for the answer.
+HttpAnswer call(const HttpCallRequest &request);
 
-/// Calls from another thread, so that the test can act while the answer is awaited.
-std::future<HttpAnswer> callLater(const HttpAsk &ask);
+/// Sends a request from another thread, so that the test can act while the answer is pending.
+std::future<HttpAnswer> callAsync(const HttpCallRequest &request);
 
 } // namespace wisteria::sessions
--- a/Tests/Sessions/StormSessionTest.cpp
+++ b/Tests/Sessions/StormSessionTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-LoadPlan stormPlan(const TestSystem &system, bool keyed)
+LoadPlan makeLoadPlan(const TestSystem &system, bool keyed)
 {
     LoadPlan plan;
     plan.urls = {system.callerUrl(0, "quotations"), system.callerUrl(1, "quotations")};
@@ -26,45 +26,46 @@
     return plan;
 }
 
-std::future<LoadTally> storm(const TestSystem &system, bool keyed)
+std::future<LoadTally> startLoad(const TestSystem &system, bool keyed)
 {
-    return std::async(std::launch::async, [plan = stormPlan(system, keyed)] {
+    return std::async(std::launch::async, [plan = makeLoadPlan(system, keyed)] {
         LoadWorker worker(plan);
         return worker.run();
     });
 }
 
-/// Requests sent by then tell where in the storm the test is.
-void waitForAnswers(const TestSystem &system, double answers)
+/// Waits until the backend servers have run this many requests, so that faults are injected at
+/// fixed points of the load.
+void waitForRuns(const TestSystem &system, double runs)
 {
-    // Entries count by labels, so the agents' sum of runs is asked instead.
-    eventually([&] { return system.totalRuns() >= answers; }, seconds(30));
+    // The metrics of entries have labels, so the runs of the backend servers are summed instead.
+    eventually([&] { return system.totalRuns() >= runs; }, seconds(30));
 }
 
 } // namespace
 
-// Everything that can happen on a bad day, in one run: two entries before 16 backend servers, an
-// agent dies and comes back, another freezes for a while, connections are cut and swallowed, and
-// one agent is replaced as planned, while keyed and plain requests go on.
-TEST_CASE("A storm of faults crosses no answers and runs no key twice")
+// Many faults in one run with two entries and 16 backend servers, under load of keyed and
+// idempotent requests: an agent dies and restarts, another is stopped for a while, connections are
+// cut or stalled, and one agent is shut down as planned.
+TEST_CASE("No answer goes to another request and no key runs twice under many faults at once")
 {
     curl_global_init(CURL_GLOBAL_DEFAULT);
-    TestSystem system({.entries = 2, .backendServers = 16, .links = true});
-    system.waitForKeys();
-    auto keyed = storm(system, true);
-    auto plain = storm(system, false);
-    waitForAnswers(system, 500);
+    TestSystem system({.entries = 2, .backendServers = 16, .useProxies = true});
+    system.waitUntilKeysAccepted();
+    auto keyed = startLoad(system, true);
+    auto plain = startLoad(system, false);
+    waitForRuns(system, 500);
     system.agent(0).kill();
     system.agent(1).signal(SIGSTOP);
-    system.link(2).cut();
-    waitForAnswers(system, 1500);
-    system.link(3).hold(true);
+    system.proxy(2).cut();
+    waitForRuns(system, 1500);
+    system.proxy(3).stall(true);
     system.restartAgent(0);
     system.agent(4).signal(SIGTERM);
-    waitForAnswers(system, 2500);
+    waitForRuns(system, 2500);
     system.agent(1).signal(SIGCONT);
-    system.link(3).hold(false);
-    system.link(5).cut();
+    system.proxy(3).stall(false);
+    system.proxy(5).cut();
     CHECK(system.agent(4).waitForExit() == 0);
     LoadTally sum = keyed.get();
     const LoadTally plainTally = plain.get();
@@ -72,7 +73,7 @@
     addTally(sum, plainTally);
     INFO(renderTally(sum, seconds(1)).dump(2));
     CHECK(sum.crossed == 0);
-    CHECK(system.mostRunsOfAKey() == 1);
+    CHECK(system.maxRunsPerKey() == 1);
     CHECK(answered >= 3900);
     for (const auto &[name, count] : sum.outcomes) {
         INFO(name);
@@ -81,17 +82,17 @@
     }
 }
 
-// One request crashes each backend server that runs it, and its caller sends it for ever, through
-// both entries. Unchecked it would take down the whole pool one by one.
-TEST_CASE("A killer request takes down at most three backend servers")
+// A poison request crashes each backend server that runs it, and its caller repeats it endlessly
+// through both entries. Without quarantine it would crash all backend servers one by one.
+TEST_CASE("A poison request crashes at most three backend servers")
 {
     TestSystem system({.entries = 2, .backendServers = 16});
     int deaths = 0;
     int refused = 0;
-    int innocents = 0;
+    int otherRequests = 0;
     for (int round = 0; round < 60; ++round) {
-        system.ask(static_cast<std::size_t>(round % 2),
-                   {.body = R"({"crash":true})", .deadline = seconds(2)});
+        system.send(static_cast<std::size_t>(round % 2),
+                    {.body = R"({"crash":true})", .deadline = seconds(2)});
         for (std::size_t i = 0; i < 16; ++i) {
             if (!system.backend(i).hasEnded())
                 continue;
@@ -99,12 +100,12 @@
             system.restartBackend(i);
         }
         for (std::size_t entry = 0; entry < 2; ++entry) {
-            ++innocents;
-            refused += system.ask(entry, {.body = "innocent"}).status == 200 ? 0 : 1;
+            ++otherRequests;
+            refused += system.send(entry, {.body = "innocent"}).status == 200 ? 0 : 1;
         }
     }
-    INFO(deaths << " deaths, " << refused << " of " << innocents << " innocents refused");
+    INFO(deaths << " deaths, " << refused << " of " << otherRequests << " other requests refused");
     CHECK(deaths >= 1);
     CHECK(deaths <= 3);
-    CHECK(refused * 100 < innocents);
+    CHECK(refused * 100 < otherRequests);
 }
--- a/Tests/Sessions/TestSystem.cpp
+++ b/Tests/Sessions/TestSystem.cpp
@@ -18,7 +18,7 @@
 
 const std::vector<std::string> failureDomains = {"domain-a", "domain-b", "domain-c"};
 
-std::string http(const std::string &address)
+std::string httpUrl(const std::string &address)
 {
     return "http://" + address;
 }
@@ -55,29 +55,29 @@
 
 } // namespace
 
-TestSystem::TestSystem(const SystemShape &shape) : shape_(shape)
+TestSystem::TestSystem(const TestSystemOptions &options) : options_(options)
 {
     std::string pattern = std::filesystem::temp_directory_path() / "wisteria-session-XXXXXX";
     folder_ = mkdtemp(pattern.data());
     log_ = std::make_unique<ChildProcess>("standin-log", std::vector<std::string>{}, path("log"));
     vms_ = std::make_unique<ChildProcess>(
-        "standin-vms", std::vector<std::string>{"--lag-ms", std::to_string(shape.vmLag.count())},
+        "standin-vms", std::vector<std::string>{"--lag-ms", std::to_string(options.vmLag.count())},
         path("vms"));
-    agents_.resize(shape.backendServers);
-    for (std::size_t i = 0; i < shape.backendServers; ++i) {
+    agents_.resize(options.backendServers);
+    for (std::size_t i = 0; i < options.backendServers; ++i) {
         backends_.push_back(std::make_unique<ChildProcess>(
             "standin-backend", std::vector<std::string>{"--name", backendName(i)},
             path("backend")));
         backendAddresses_.push_back(backends_.back()->address("address"));
         startAgent(i, "127.0.0.1:0");
         agentAddresses_.push_back(agents_[i]->address("peer"));
-        if (shape.links)
-            links_.push_back(std::make_unique<FlowLink>(agentAddresses_[i]));
+        if (options.useProxies)
+            proxies_.push_back(std::make_unique<FaultProxy>(agentAddresses_[i]));
     }
-    const std::uint64_t version = declareAll();
-    for (std::size_t i = 0; i < shape.entries; ++i)
+    const std::uint64_t version = applyInitialConfig();
+    for (std::size_t i = 0; i < options.entries; ++i)
         startEntry();
-    waitInForce(version);
+    waitUntilInForce(version);
 }
 
 TestSystem::~TestSystem()
@@ -105,9 +105,9 @@
         {"name", name},
         {"failure_domain", failureDomains[i % failureDomains.size()]},
         {"peer_listen", listen},
-        {"backend", {{"url", http(backendAddresses_[i])}}},
-        {"log", {{"url", http(log_->address("address"))}}},
-        {"vms", {{"url", http(vms_->address("address"))}}},
+        {"backend", {{"url", httpUrl(backendAddresses_[i])}}},
+        {"log", {{"url", httpUrl(log_->address("address"))}}},
+        {"vms", {{"url", httpUrl(vms_->address("address"))}}},
     };
     agents_[i] = std::make_unique<ChildProcess>(
         "wisteria-agent", std::vector<std::string>{"--settings", writeSettings(name, settings)},
@@ -123,7 +123,7 @@
         {"listen", "127.0.0.1:0"},
         {"traffic_threads", 2},
         {"drain_ms", 100},
-        {"log", {{"url", http(log_->address("address"))}}},
+        {"log", {{"url", httpUrl(log_->address("address"))}}},
     };
     entries_.push_back(std::make_unique<ChildProcess>(
         "wisteria-entry", std::vector<std::string>{"--settings", writeSettings(name, settings)},
@@ -145,18 +145,18 @@
     startAgent(i, agentAddresses_[i]);
 }
 
-std::uint64_t TestSystem::declareAll()
+std::uint64_t TestSystem::applyInitialConfig()
 {
     std::vector<v1::Object> objects(3);
     v1::RoutingPolicy &policy = *objects[0].mutable_routing_policy();
     policy.set_name("even");
     policy.set_load_weight(1);
     policy.set_retry_ratio(0.5);
-    policy.set_max_attempts(shape_.maxAttempts);
+    policy.set_max_attempts(options_.maxAttempts);
     v1::Service &service = *objects[1].mutable_service();
     service.set_name("quotations");
     service.set_routing_policy("even");
-    service.set_queue_bound(shape_.queueBound);
+    service.set_queue_bound(options_.queueBound);
     service.set_default_deadline_ms(10000);
     service.set_max_body_bytes(1 << 20);
     v1::Organisation &organisation = *objects[2].mutable_organisation();
@@ -164,26 +164,26 @@
     organisation.set_requests_per_second(100000);
     organisation.set_burst(100000);
     organisation.set_concurrency(10000);
-    for (std::size_t i = 0; i < shape_.backendServers; ++i)
-        *objects.emplace_back().mutable_backend_server() = declaredBackend(i);
+    for (std::size_t i = 0; i < options_.backendServers; ++i)
+        *objects.emplace_back().mutable_backend_server() = backendObject(i);
     return apply(objects);
 }
 
-v1::BackendServer TestSystem::declaredBackend(std::size_t i) const
+v1::BackendServer TestSystem::backendObject(std::size_t i) const
 {
     v1::BackendServer backend;
     backend.set_name(backendName(i));
     backend.set_service("quotations");
-    backend.set_agent_address(shape_.links ? links_[i]->address() : agentAddresses_[i]);
+    backend.set_agent_address(options_.useProxies ? proxies_[i]->address() : agentAddresses_[i]);
     backend.set_failure_domain(failureDomains[i % failureDomains.size()]);
     backend.set_vm("vm-" + std::to_string(i + 1));
-    backend.set_concurrency(shape_.concurrency);
+    backend.set_concurrency(options_.concurrency);
     return backend;
 }
 
 std::uint64_t TestSystem::apply(const std::vector<v1::Object> &objects)
 {
-    const std::string stream = http(log_->address("address")) + "/streams/config/records";
+    const std::string stream = httpUrl(log_->address("address")) + "/streams/config/records";
     v1::ConfigRecord record;
     v1::ChangeRecord &change = *record.mutable_change();
     change.set_change_id(freshKey());
@@ -201,7 +201,7 @@
     return offset;
 }
 
-void TestSystem::waitInForce(std::uint64_t version) const
+void TestSystem::waitUntilInForce(std::uint64_t version) const
 {
     const auto inForce = [version](const auto &processes) {
         for (const auto &process : processes) {
@@ -217,53 +217,55 @@
 
 std::string TestSystem::callerUrl(std::size_t entry, const std::string &service) const
 {
-    return http(entries_.at(entry)->address("caller")) + "/v1/services/" + service + "/requests";
+    return httpUrl(entries_.at(entry)->address("caller")) + "/v1/services/" + service + "/requests";
 }
 
-HttpAsk TestSystem::askFor(std::size_t entry, const CallerAsk &ask) const
+HttpCallRequest TestSystem::httpRequestFor(std::size_t entry, const TestRequest &request) const
 {
-    HttpAsk http;
-    http.url = callerUrl(entry, ask.service);
-    http.body = ask.body;
-    http.headers = ask.headers;
-    http.headers.push_back("Wisteria-Organisation: " + ask.organisation);
-    http.headers.push_back("Wisteria-Deadline-Ms: " + std::to_string(ask.deadline.count()));
-    if (!ask.key.empty()) {
-        http.headers.push_back("Wisteria-Idempotent: false");
-        http.headers.push_back("Wisteria-Key: " + ask.key);
-        http.headers.push_back("Wisteria-Attempt: " + std::to_string(ask.attempt));
+    HttpCallRequest httpRequest;
+    httpRequest.url = callerUrl(entry, request.service);
+    httpRequest.body = request.body;
+    httpRequest.headers = request.headers;
+    httpRequest.headers.push_back("Wisteria-Organisation: " + request.organisation);
+    httpRequest.headers.push_back("Wisteria-Deadline-Ms: "
+                                  + std::to_string(request.deadline.count()));
+    if (!request.key.empty()) {
+        httpRequest.headers.push_back("Wisteria-Idempotent: false");
+        httpRequest.headers.push_back("Wisteria-Key: " + request.key);
+        httpRequest.headers.push_back("Wisteria-Attempt: " + std::to_string(request.attempt));
     }
-    return http;
+    return httpRequest;
 }
 
-HttpAnswer TestSystem::ask(std::size_t entry, const CallerAsk &ask) const
+HttpAnswer TestSystem::send(std::size_t entry, const TestRequest &request) const
 {
-    return call(askFor(entry, ask));
+    return call(httpRequestFor(entry, request));
 }
 
-std::future<HttpAnswer> TestSystem::askLater(std::size_t entry, const CallerAsk &ask) const
+std::future<HttpAnswer> TestSystem::sendAsync(std::size_t entry, const TestRequest &request) const
 {
-    return callLater(askFor(entry, ask));
+    return callAsync(httpRequestFor(entry, request));
 }
 
-void TestSystem::waitForKeys() const
+void TestSystem::waitUntilKeysAccepted() const
 {
-    // Enough keys in a row that each home has had one of them with near certainty.
-    const int wanted = 8 * static_cast<int>(backends_.size());
-    int row = 0;
+    // This many consecutive keys almost certainly include one of each backend server.
+    const int required = 8 * static_cast<int>(backends_.size());
+    int accepted = 0;
     const bool settled = eventually([&] {
-        row = ask(0, {.body = "settling", .key = freshKey()}).status == 200 ? row + 1 : 0;
-        return row == wanted;
+        accepted =
+            send(0, {.body = "settling", .key = freshKey()}).status == 200 ? accepted + 1 : 0;
+        return accepted == required;
     });
     if (!settled)
-        throw std::runtime_error("homes go on refusing new keys");
+        throw std::runtime_error("backend servers still refuse new idempotency keys");
 }
 
 int TestSystem::runs(const std::string &kind, const std::string &name) const
 {
     int sum = 0;
     for (const std::string &address : backendAddresses_) {
-        const json counts = call({.url = http(address) + "/runs", .method = "GET"}).json();
+        const json counts = call({.url = httpUrl(address) + "/runs", .method = "GET"}).json();
         sum += counts.value(kind, json::object()).value(name, 0);
     }
     return sum;
@@ -273,37 +275,37 @@
 {
     int sum = 0;
     for (const std::string &address : backendAddresses_)
-        sum += call({.url = http(address) + "/runs", .method = "GET"}).json().value("total", 0);
+        sum += call({.url = httpUrl(address) + "/runs", .method = "GET"}).json().value("total", 0);
     return sum;
 }
 
-int TestSystem::mostRunsOfAKey() const
+int TestSystem::maxRunsPerKey() const
 {
     std::map<std::string, int> sums;
-    int most = 0;
+    int maxRuns = 0;
     for (const std::string &address : backendAddresses_) {
-        const json counts = call({.url = http(address) + "/runs", .method = "GET"}).json();
+        const json counts = call({.url = httpUrl(address) + "/runs", .method = "GET"}).json();
         const json keys = counts.value("keys", json::object());
         for (const auto &[key, count] : keys.items()) {
             sums[key] += count.get<int>();
-            most = std::max(most, sums[key]);
+            maxRuns = std::max(maxRuns, sums[key]);
         }
     }
-    return most;
+    return maxRuns;
 }
 
-int TestSystem::holding(std::size_t backend) const
+int TestSystem::heldRequests(std::size_t backend) const
 {
-    const std::string url = http(backendAddresses_[backend]) + "/runs";
+    const std::string url = httpUrl(backendAddresses_[backend]) + "/runs";
     return call({.url = url, .method = "GET"}).json().value("holding", 0);
 }
 
-std::size_t TestSystem::waitForHolder() const
+std::size_t TestSystem::waitForHeldRequest() const
 {
     std::size_t holder = backends_.size();
     const auto found = eventually([&] {
         for (holder = 0; holder < backends_.size(); ++holder) {
-            if (backends_[holder]->pid() > 0 && holding(holder) > 0)
+            if (backends_[holder]->pid() > 0 && heldRequests(holder) > 0)
                 return true;
         }
         return false;
@@ -316,17 +318,17 @@
 void TestSystem::release(const std::string &name) const
 {
     for (const std::string &address : backendAddresses_)
-        call({.url = http(address) + "/release", .body = name});
+        call({.url = httpUrl(address) + "/release", .body = name});
 }
 
 void TestSystem::setLogFaults(const json &faults) const
 {
-    call({.url = http(log_->address("address")) + "/faults", .body = faults.dump()});
+    call({.url = httpUrl(log_->address("address")) + "/faults", .body = faults.dump()});
 }
 
 double TestSystem::metric(const ChildProcess &process, const std::string &name)
 {
-    const std::string url = http(process.address("metrics")) + "/metrics";
+    const std::string url = httpUrl(process.address("metrics")) + "/metrics";
     std::istringstream lines(
         call({.url = url, .method = "GET", .timeout = milliseconds(2000)}).body);
     std::string line;
@@ -337,11 +339,11 @@
     return 0;
 }
 
-bool eventually(const std::function<bool()> &condition, milliseconds limit)
+bool eventually(const std::function<bool()> &condition, milliseconds timeout)
 {
-    const TimePoint end = monotonicNow() + limit;
+    const TimePoint deadline = monotonicNow() + timeout;
     while (!condition()) {
-        if (monotonicNow() > end)
+        if (monotonicNow() > deadline)
             return false;
     }
     return true;
--- a/Tests/Sessions/TestSystem.h
+++ b/Tests/Sessions/TestSystem.h
@@ -9,30 +9,30 @@
 
 #include "Config.pb.h"
 #include "Sessions/ChildProcess.h"
-#include "Sessions/FlowLink.h"
+#include "Sessions/FaultProxy.h"
 #include "Sessions/HttpCall.h"
 
 namespace wisteria::sessions {
 
-/// Size and limits of a system under test.
-struct SystemShape
+/// Size, limits and options of a system under test.
+struct TestSystemOptions
 {
     std::size_t entries = 1;
     std::size_t backendServers = 2;
     std::uint32_t concurrency = 4;
     std::uint32_t queueBound = 8;
     std::uint32_t maxAttempts = 3;
-    /// Whether the ways between entries and agents can be broken.
-    bool links = false;
-    /// Lag of the platform's list of VMs.
+    /// Whether entries reach agents through fault proxies, which can stall and cut connections.
+    bool useProxies = false;
+    /// Delay before a change shows in the platform's list of VMs.
     milliseconds vmLag = milliseconds(0);
 };
 
-/// A caller's request as tests state it.
-struct CallerAsk
+/// A caller's request to an entry.
+struct TestRequest
 {
     std::string body = "hello";
-    /// Set for a request that is not idempotent.
+    /// Idempotency key of a request that is not idempotent; otherwise empty.
     std::string key = {};
     int attempt = 1;
     milliseconds deadline = milliseconds(10000);
@@ -41,12 +41,12 @@
     std::vector<std::string> headers = {};
 };
 
-/// The whole system as separate processes on loopback: log, list of VMs, backend servers with an
-/// agent each, and entries, with a configuration in force.
+/// The whole system as separate processes on loopback: log, list of VMs, backend servers with one
+/// agent each, and entries. A configuration is in force when the constructor returns.
 class TestSystem
 {
 public:
-    explicit TestSystem(const SystemShape &shape);
+    explicit TestSystem(const TestSystemOptions &options);
     ~TestSystem();
     TestSystem(const TestSystem &) = delete;
     TestSystem &operator=(const TestSystem &) = delete;
@@ -56,69 +56,77 @@
     ChildProcess &entry(std::size_t i) { return *entries_.at(i); }
     ChildProcess &agent(std::size_t i) { return *agents_.at(i); }
     ChildProcess &backend(std::size_t i) { return *backends_.at(i); }
-    /// The way from all entries to an agent; with SystemShape::links only.
-    FlowLink &link(std::size_t i) { return *links_.at(i); }
+    /// Proxy between all entries and an agent; only with TestSystemOptions::useProxies.
+    FaultProxy &proxy(std::size_t i) { return *proxies_.at(i); }
 
     std::string callerUrl(std::size_t entry, const std::string &service) const;
-    HttpAsk askFor(std::size_t entry, const CallerAsk &ask) const;
-    HttpAnswer ask(std::size_t entry, const CallerAsk &ask) const;
-    std::future<HttpAnswer> askLater(std::size_t entry, const CallerAsk &ask) const;
+    HttpCallRequest httpRequestFor(std::size_t entry, const TestRequest &request) const;
+    HttpAnswer send(std::size_t entry, const TestRequest &request) const;
+    std::future<HttpAnswer> sendAsync(std::size_t entry, const TestRequest &request) const;
 
-    /// Starts them again where they were, after they were killed.
+    /// Kills the process and starts it again at the same address.
     void restartBackend(std::size_t i);
     void restartAgent(std::size_t i);
     void startEntry();
 
-    /// Waits until homes run new keys: after its start a home refuses those of the first seconds.
-    void waitForKeys() const;
+    /// Waits until all backend servers accept new idempotency keys. After its start, a backend
+    /// server refuses the new keys that it owns for the first seconds.
+    void waitUntilKeysAccepted() const;
 
-    /// Runs of all backend servers that still answer, by "keys" or "tags".
+    /// How often a request ran, summed over all backend servers that answer.
+    /// @param kind "keys" or "tags".
+    /// @param name Idempotency key or tag.
     int runs(const std::string &kind, const std::string &name) const;
-    /// Requests that all backend servers together have run.
+    /// Requests that all backend servers have run in total.
     int totalRuns() const;
-    /// How often the key ran that ran most often, over all backend servers that answer.
-    int mostRunsOfAKey() const;
-    /// Requests that a backend server holds until release().
-    int holding(std::size_t backend) const;
-    /// Index of the backend server that holds a request; waits until one does.
-    std::size_t waitForHolder() const;
-    /// Lets every request go that waits for this name.
+    /// Highest number of runs of any one key, summed over all backend servers that answer.
+    int maxRunsPerKey() const;
+    /// Number of requests that a backend server holds until release().
+    int heldRequests(std::size_t backend) const;
+    /// Waits until a backend server holds a request.
+    /// @return Its index.
+    /// @throw std::runtime_error when none does in time.
+    std::size_t waitForHeldRequest() const;
+    /// Completes every request that is held under this name.
     void release(const std::string &name) const;
 
-    /// Appends a change of the configuration and returns its offset.
+    /// Appends a configuration change to the log.
+    /// @return Its offset, which is the new version.
     std::uint64_t apply(const std::vector<v1::Object> &objects);
-    v1::BackendServer declaredBackend(std::size_t i) const;
-    /// Waits until every agent and entry that lives has the version in force.
-    void waitInForce(std::uint64_t version) const;
+    v1::BackendServer backendObject(std::size_t i) const;
+    /// Waits until the version is in force at every running agent and entry.
+    /// @throw std::runtime_error when it is not in time.
+    void waitUntilInForce(std::uint64_t version) const;
     void setLogFaults(const nlohmann::json &faults) const;
 
-    /// Value of a metric that has no labels; nothing is 0.
+    /// Value of a metric without labels; 0 when it is absent.
     static double metric(const ChildProcess &process, const std::string &name);
 
 private:
     std::string path(const std::string &name) const;
     std::string writeSettings(const std::string &name, const nlohmann::json &settings) const;
     void startAgent(std::size_t i, const std::string &listen);
-    std::uint64_t declareAll();
+    std::uint64_t applyInitialConfig();
 
-    SystemShape shape_;
+    TestSystemOptions options_;
     std::string folder_;
     std::unique_ptr<ChildProcess> log_;
     std::unique_ptr<ChildProcess> vms_;
     std::vector<std::unique_ptr<ChildProcess>> backends_;
     std::vector<std::unique_ptr<ChildProcess>> agents_;
     std::vector<std::unique_ptr<ChildProcess>> entries_;
-    std::vector<std::unique_ptr<FlowLink>> links_;
-    /// Offset of the change that last set an object, by its name.
+    std::vector<std::unique_ptr<FaultProxy>> proxies_;
+    /// Offset of the last change of each object, by object name.
     std::map<std::string, std::uint64_t> versions_;
     std::vector<std::string> agentAddresses_;
     std::vector<std::string> backendAddresses_;
 };
 
-/// Asks again and again until the condition holds; gives up after the limit.
-bool eventually(const std::function<bool()> &condition, milliseconds limit = milliseconds(10000));
+/// Polls a condition until it holds.
+/// @return False when it does not hold within the timeout.
+bool eventually(const std::function<bool()> &condition, milliseconds timeout = milliseconds(10000));
 
-/// A fresh idempotency key.
+/// A new unique idempotency key.
 std::string freshKey();
 
 } // namespace wisteria::sessions
--- a/Tests/StandIns/BackendServer.cpp
+++ b/Tests/StandIns/BackendServer.cpp
@@ -1,8 +1,10 @@
 // Stand-in for a backend server: answers at once by default; options in a request's JSON body make
-// it stream, wait, stall, fail or crash. It counts runs, so that tests can prove at-most-once.
+// it stream, wait, stall, fail or crash. It counts runs, so that tests can check that a request
+// runs at most once.
 //
-// Options: "tag" (runs are counted by it), "stream" (chunks), "chunk_ms", "cut_after" (chunks),
-// "hold" (name; waits until POST /release with that name), "stall_ms", "ask_status", "crash".
+// Options: "tag" (runs are counted per tag), "stream" (number of chunks), "chunk_ms" (delay between
+// chunks), "cut_after" (number of chunks), "hold" (name; waits until POST /release with that name),
+// "stall_ms" (delay before the answer), "ask_status" (status of the answer), "crash".
 
 #include <condition_variable>
 #include <cstdlib>
@@ -22,9 +24,9 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-constexpr std::size_t echoLimit = 1024;
+constexpr std::size_t maxEchoBytes = 1024;
 constexpr int crashExitCode = 70;
-constexpr auto longestHold = std::chrono::seconds(60);
+constexpr auto maxHold = std::chrono::seconds(60);
 
 json parseOptions(const std::string &body)
 {
@@ -44,7 +46,7 @@
         if (exchange.path() == "/health")
             return Reply{.body = R"({"state":"live"})"};
         if (exchange.path() == "/runs")
-            return runs();
+            return runCounts();
         if (exchange.path() == "/release")
             return release(exchange.body());
         const auto service = exchange.pathBetween("/v1/services/", "/requests");
@@ -61,7 +63,7 @@
         const unsigned long count = countRun(key, options);
         if (options.value("crash", false))
             std::_Exit(crashExitCode);
-        pauseFor(milliseconds(options.value("stall_ms", 0)));
+        sleepFor(milliseconds(options.value("stall_ms", 0)));
         const json echo = {
             {"backend_server", name_},
             {"service", service},
@@ -69,18 +71,18 @@
             {"key", key},
             {"run", count},
             {"body_hash", XXH3_64bits(exchange.body().data(), exchange.body().size())},
-            {"echo", exchange.body().substr(0, echoLimit)},
+            {"echo", exchange.body().substr(0, maxEchoBytes)},
         };
         if (options.contains("stream"))
-            return streamed(echo, options);
+            return streamReply(echo, options);
         waitForRelease(options.value("hold", ""));
         Reply reply{.body = echo.dump(-1, ' ', false, json::error_handler_t::replace)};
         reply.status = options.value("ask_status", 200U);
         return reply;
     }
 
-    /// Every chunk names the request, so that a test sees a part of another's answer.
-    Reply streamed(const json &echo, const json &options)
+    /// Every chunk contains the request's id, so that a test detects chunks of another answer.
+    Reply streamReply(const json &echo, const json &options)
     {
         Reply reply{.contentType = "application/x-ndjson"};
         reply.chunks = [this, echo, options, sent = 0]() mutable {
@@ -91,7 +93,7 @@
             if (sent == 1)
                 waitForRelease(options.value("hold", ""));
             if (sent > 0)
-                pauseFor(milliseconds(options.value("chunk_ms", 0)));
+                sleepFor(milliseconds(options.value("chunk_ms", 0)));
             ++sent;
             const json chunk = {{"chunk", sent},
                                 {"request_id", echo["request_id"]},
@@ -111,14 +113,14 @@
         return key.empty() ? total_ : ++runsByKey_[key];
     }
 
-    Reply runs()
+    Reply runCounts()
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         const json counts = {{"backend_server", name_},
                              {"total", total_},
                              {"keys", runsByKey_},
                              {"tags", runsByTag_},
-                             {"holding", holding_}};
+                             {"holding", held_}};
         return Reply{.body = counts.dump()};
     }
 
@@ -135,16 +137,16 @@
         if (name.empty())
             return;
         std::unique_lock<std::mutex> lock(mutex_);
-        ++holding_;
-        changed_.wait_for(lock, longestHold, [&] { return released_.count(name) > 0; });
-        --holding_;
+        ++held_;
+        changed_.wait_for(lock, maxHold, [&] { return released_.count(name) > 0; });
+        --held_;
     }
 
     const std::string name_;
     std::mutex mutex_;
     std::condition_variable changed_;
     unsigned long total_ = 0;
-    unsigned long holding_ = 0;
+    unsigned long held_ = 0;
     std::map<std::string, unsigned long> runsByKey_;
     std::map<std::string, unsigned long> runsByTag_;
     std::set<std::string> released_;
--- a/Tests/StandIns/HttpStandIn.cpp
+++ b/Tests/StandIns/HttpStandIn.cpp
@@ -19,35 +19,35 @@
 
 constexpr std::size_t threadStackBytes = 256 * 1024;
 constexpr std::size_t streamBlockBytes = 16 * 1024;
-constexpr unsigned connectionLimit = 4096;
+constexpr unsigned maxConnections = 4096;
 
-/// A request whose body is still coming in.
+/// Body of a request that is being received.
 struct Upload
 {
     std::string body;
 };
 
-/// A streamed answer; holds what did not fit into the library's buffer.
+/// State of a streamed answer; `pending` is data that did not fit into the library's buffer.
 struct Stream
 {
     std::function<Chunk()> source;
-    std::string left;
+    std::string pending;
 };
 
-ssize_t readStream(void *state, std::uint64_t, char *buffer, std::size_t room)
+ssize_t readStream(void *state, std::uint64_t, char *buffer, std::size_t capacity)
 {
     auto *stream = static_cast<Stream *>(state);
-    if (stream->left.empty()) {
+    if (stream->pending.empty()) {
         Chunk chunk = stream->source();
         if (chunk.kind == Chunk::Kind::Cut)
             return MHD_CONTENT_READER_END_WITH_ERROR;
         if (chunk.kind == Chunk::Kind::End)
             return MHD_CONTENT_READER_END_OF_STREAM;
-        stream->left = std::move(chunk.data);
+        stream->pending = std::move(chunk.data);
     }
-    const std::size_t size = std::min(room, stream->left.size());
-    std::memcpy(buffer, stream->left.data(), size);
-    stream->left.erase(0, size);
+    const std::size_t size = std::min(capacity, stream->pending.size());
+    std::memcpy(buffer, stream->pending.data(), size);
+    stream->pending.erase(0, size);
     return static_cast<ssize_t>(size);
 }
 
@@ -66,7 +66,7 @@
                                            MHD_RESPMEM_MUST_COPY);
 }
 
-MHD_Result answer(MHD_Connection *connection, const Reply &reply)
+MHD_Result sendReply(MHD_Connection *connection, const Reply &reply)
 {
     if (reply.closeWithoutAnswer)
         return MHD_NO;
@@ -92,7 +92,7 @@
         return MHD_YES;
     }
     const Exchange exchange(connection, method, path, std::move(upload->body));
-    return answer(connection, (*static_cast<const Handler *>(handler))(exchange));
+    return sendReply(connection, (*static_cast<const Handler *>(handler))(exchange));
 }
 
 void onCompleted(void *, MHD_Connection *, void **state, MHD_RequestTerminationCode)
@@ -116,7 +116,7 @@
         MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_POLL, port,
         nullptr, nullptr, onRequest, const_cast<Handler *>(&handler), MHD_OPTION_SOCK_ADDR,
         &address, MHD_OPTION_NOTIFY_COMPLETED, onCompleted, nullptr, MHD_OPTION_THREAD_STACK_SIZE,
-        threadStackBytes, MHD_OPTION_CONNECTION_LIMIT, connectionLimit,
+        threadStackBytes, MHD_OPTION_CONNECTION_LIMIT, maxConnections,
         MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
 }
 
@@ -175,11 +175,11 @@
     std::fflush(stdout);
     int signal = 0;
     sigwait(&stopSignals, &signal);
-    // Handlers may still block on purpose, so the process ends without waiting for them.
+    // Handlers may still block on purpose, so the process exits without joining their threads.
     std::_Exit(EXIT_SUCCESS);
 }
 
-void pauseFor(std::chrono::milliseconds time)
+void sleepFor(std::chrono::milliseconds time)
 {
     std::mutex mutex;
     std::unique_lock<std::mutex> lock(mutex);
--- a/Tests/StandIns/HttpStandIn.h
+++ b/Tests/StandIns/HttpStandIn.h
@@ -10,7 +10,7 @@
 
 namespace wisteria::standin {
 
-/// One HTTP request, as a stand-in sees it once its body is whole.
+/// An HTTP request with its complete body.
 class Exchange
 {
 public:
@@ -22,10 +22,11 @@
 
     /// Value of a header, empty when absent.
     std::string header(const char *name) const;
-    /// Number in the query part of the address, or the fallback when absent.
+    /// Number in the query part of the URL, or the fallback when absent.
     unsigned long queryNumber(const char *name, unsigned long fallback) const;
 
-    /// The part of the path between a prefix and a suffix, or nothing when it doesn't match.
+    /// The non-empty part of the path between a prefix and a suffix.
+    /// @return Nothing when the path doesn't match.
     std::optional<std::string> pathBetween(const std::string &prefix,
                                            const std::string &suffix) const;
 
@@ -36,7 +37,7 @@
     std::string body_;
 };
 
-/// What a stream gives next.
+/// Next part of a streamed answer: data, its regular end, or a cut connection.
 struct Chunk
 {
     enum class Kind { Data, End, Cut };
@@ -44,7 +45,8 @@
     std::string data;
 };
 
-/// A stand-in's answer: a body, or a source of chunks, or a connection closed without a word.
+/// A stand-in's answer: a body, a source of chunks, or a connection that is closed without an
+/// answer.
 struct Reply
 {
     unsigned status = 200;
@@ -54,17 +56,18 @@
     bool closeWithoutAnswer = false;
 };
 
+/// Answer with status 404 for an unknown path.
 Reply notFound();
 
 using Handler = std::function<Reply(const Exchange &)>;
 
 /// Serves on 127.0.0.1 with a thread for each connection, so that a handler may block. Prints
-/// "ready address=127.0.0.1:PORT" and returns after SIGTERM or SIGINT.
-/// @param port 0 for a free one.
-/// @return The process's exit code.
+/// "ready address=127.0.0.1:PORT". SIGTERM or SIGINT ends the process.
+/// @param port 0 for a free port.
+/// @return The exit code of the process when it can't listen.
 int serve(unsigned short port, const Handler &handler);
 
-/// Waits, as a slow platform or a stalled backend server does.
-void pauseFor(std::chrono::milliseconds time);
+/// Blocks the thread, to simulate a slow platform or a stalled backend server.
+void sleepFor(std::chrono::milliseconds time);
 
 } // namespace wisteria::standin
--- a/Tests/StandIns/LogService.cpp
+++ b/Tests/StandIns/LogService.cpp
@@ -1,5 +1,5 @@
-// Stand-in for the platform's append-only log service: streams in memory, long polls, retention
-// and faults that tests set while it runs.
+// Stand-in for the platform's append-only log service: streams in memory, with long polling,
+// retention, and faults that tests inject while it runs.
 
 #include <algorithm>
 #include <condition_variable>
@@ -17,24 +17,24 @@
 
 using std::chrono::milliseconds;
 
-constexpr unsigned long defaultBatch = 1000;
+constexpr unsigned long defaultBatchRecords = 1000;
 
 std::string toBase64(const std::string &bytes)
 {
     static const char digits[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
     std::string text;
     for (std::size_t i = 0; i < bytes.size(); i += 3) {
-        const std::size_t held = std::min<std::size_t>(3, bytes.size() - i);
+        const std::size_t present = std::min<std::size_t>(3, bytes.size() - i);
         unsigned group = 0;
         for (std::size_t j = 0; j < 3; ++j)
-            group = group << 8 | (j < held ? static_cast<unsigned char>(bytes[i + j]) : 0U);
+            group = group << 8 | (j < present ? static_cast<unsigned char>(bytes[i + j]) : 0U);
         for (std::size_t j = 0; j < 4; ++j)
-            text += j <= held ? digits[group >> (18 - 6 * j) & 63U] : '=';
+            text += j <= present ? digits[group >> (18 - 6 * j) & 63U] : '=';
     }
     return text;
 }
 
-/// Faults in force; "ok" or empty is none.
+/// Injected faults; "ok" means none.
 struct Faults
 {
     std::string append = "ok";
@@ -42,7 +42,7 @@
     milliseconds slow = milliseconds(0);
 };
 
-/// Records of one stream; offsets start at 1 and `first` is the oldest one still held.
+/// Records of one stream. Offsets start at 1; `first` is the oldest retained offset.
 struct RecordStream
 {
     unsigned long first = 1;
@@ -81,7 +81,7 @@
     }
 
 private:
-    static Reply down()
+    static Reply unavailable()
     {
         Reply reply;
         reply.status = 503;
@@ -92,12 +92,12 @@
     Reply setFaults(const Exchange &exchange)
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        const auto wanted = nlohmann::json::parse(exchange.body(), nullptr, false);
-        if (!wanted.is_object())
+        const auto requested = nlohmann::json::parse(exchange.body(), nullptr, false);
+        if (!requested.is_object())
             return notFound();
-        faults_.append = wanted.value("append", faults_.append);
-        faults_.read = wanted.value("read", faults_.read);
-        faults_.slow = milliseconds(wanted.value("slow_ms", faults_.slow.count()));
+        faults_.append = requested.value("append", faults_.append);
+        faults_.read = requested.value("read", faults_.read);
+        faults_.slow = milliseconds(requested.value("slow_ms", faults_.slow.count()));
         changed_.notify_all();
         return Reply{.body = "{}"};
     }
@@ -113,9 +113,9 @@
     {
         const Faults faults = currentFaults();
         if (faults.append == "down")
-            return down();
+            return unavailable();
         if (faults.append == "slow")
-            pauseFor(faults.slow);
+            sleepFor(faults.slow);
         const std::lock_guard<std::mutex> lock(mutex_);
         RecordStream &stream = streams_[name];
         const unsigned long offset = stream.end();
@@ -139,17 +139,17 @@
     Reply read(const std::string &name, const Exchange &exchange)
     {
         const unsigned long from = std::max(1UL, exchange.queryNumber("from", 1));
-        const unsigned long max = exchange.queryNumber("max", defaultBatch);
+        const unsigned long max = exchange.queryNumber("max", defaultBatchRecords);
         const milliseconds wait(exchange.queryNumber("wait_ms", 0));
         const Faults faults = currentFaults();
         if (faults.read == "slow")
-            pauseFor(faults.slow);
+            sleepFor(faults.slow);
         std::unique_lock<std::mutex> lock(mutex_);
         changed_.wait_for(lock, wait,
                           [&] { return faults_.read == "down" || streams_[name].end() > from; });
         ++reads_;
         if (faults_.read == "down")
-            return down();
+            return unavailable();
         return Reply{.body = batch(streams_[name], from, max)};
     }
 
--- a/Tests/StandIns/VmList.cpp
+++ b/Tests/StandIns/VmList.cpp
@@ -1,4 +1,4 @@
-// Stand-in for the platform's lagging list of live and leaving VMs: a change shows after the lag.
+// Stand-in for the platform's list of live and leaving VMs. A change shows only after a set delay.
 
 #include <deque>
 #include <mutex>
@@ -25,29 +25,29 @@
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         if (exchange.path() == "/vms" && exchange.method() == "GET")
-            return Reply{.body = json({{"vms", shown()}}).dump()};
+            return Reply{.body = json({{"vms", visibleVms()}}).dump()};
         const json body = json::parse(exchange.body(), nullptr, false);
         if (exchange.method() != "PUT" || !body.is_object())
             return notFound();
         if (exchange.path() == "/vms")
-            change(body.value("vms", json::array()));
+            addRevision(body.value("vms", json::array()));
         else if (const auto name = exchange.pathBetween("/vms/", ""))
-            change(withState(*name, body.value("state", "live")));
+            addRevision(withState(*name, body.value("state", "live")));
         return Reply{.body = "{}"};
     }
 
 private:
-    struct Edition
+    struct Revision
     {
         Clock::time_point since;
         json vms;
     };
 
-    void change(json vms) { editions_.push_back({Clock::now(), std::move(vms)}); }
+    void addRevision(json vms) { revisions_.push_back({Clock::now(), std::move(vms)}); }
 
     json withState(const std::string &name, const std::string &state) const
     {
-        json vms = editions_.back().vms;
+        json vms = revisions_.back().vms;
         for (json &vm : vms) {
             if (vm["name"] == name) {
                 vm["state"] = state;
@@ -58,17 +58,17 @@
         return vms;
     }
 
-    const json &shown()
+    const json &visibleVms()
     {
         const auto visibleSince = Clock::now() - lag_;
-        while (editions_.size() > 1 && editions_[1].since <= visibleSince)
-            editions_.pop_front();
-        return editions_.front().vms;
+        while (revisions_.size() > 1 && revisions_[1].since <= visibleSince)
+            revisions_.pop_front();
+        return revisions_.front().vms;
     }
 
     const std::chrono::milliseconds lag_;
     std::mutex mutex_;
-    std::deque<Edition> editions_ = {{Clock::time_point(), json::array()}};
+    std::deque<Revision> revisions_ = {{Clock::time_point(), json::array()}};
 };
 
 } // namespace
