--- a/Source/Programs/Admin/Main.cpp
+++ b/Source/Programs/Admin/Main.cpp
@@ -1,5 +1,5 @@
-// The operators' service: checks their changes, appends them to the log and answers what came of
-// it.
+// wisteria-admin, the operators' service: checks changes, appends them to the log and reports their
+// outcome.
 
 #include <iostream>
 
--- a/Source/Programs/Bench/LoadCommand.cpp
+++ b/Source/Programs/Bench/LoadCommand.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-constexpr auto samplePause = milliseconds(50);
+constexpr auto sampleInterval = milliseconds(50);
 constexpr std::int64_t nanosecondsPerSecond = 1000000000;
 
-/// What the command line asks for.
+/// The parsed command line.
 struct LoadOptions
 {
     LoadPlan plan;
@@ -71,7 +71,7 @@
     return options;
 }
 
-/// The part of `total` that falls to one of `threads` workers.
+/// The part of `total` for the worker `index` of `threads` workers; the parts add up to `total`.
 template <typename Count> Count shareOf(Count total, std::uint32_t threads, std::uint32_t index)
 {
     return total / threads + (index < total % threads ? 1 : 0);
@@ -90,7 +90,7 @@
     return plan;
 }
 
-/// The workers of one phase; they keep their connections open until the next phase is over.
+/// The workers of one phase of the load. Their connections close with the destructor.
 class LoadPhase
 {
 public:
@@ -145,7 +145,7 @@
     const TimePoint begin = monotonicNow();
     phase.start();
     while (phase.isRunning()) {
-        std::this_thread::sleep_for(samplePause);
+        std::this_thread::sleep_for(sampleInterval);
         static_cast<void>(sampleAll(watches));
     }
     const std::chrono::duration<double> elapsed = monotonicNow() - begin;
--- a/Source/Programs/Bench/LoadCommand.h
+++ b/Source/Programs/Bench/LoadCommand.h
@@ -8,8 +8,8 @@
 
 namespace wisteria {
 
-/// Sends load to a running system and prints what came back as JSON: "wisteria-bench load".
-/// @return NotFound for a process that is not there; Internal when an answer belonged to another
+/// `wisteria-bench load`: sends load to a running system and prints the results as JSON.
+/// @return NotFound for a process that does not exist; Internal when an answer belonged to another
 /// request.
 Result<void> runLoadCommand(std::vector<std::string> arguments, std::ostream &out);
 
--- a/Source/Programs/Bench/LoadReport.cpp
+++ b/Source/Programs/Bench/LoadReport.cpp
@@ -40,11 +40,11 @@
     return sorted[std::clamp<std::size_t>(rank, 1, sorted.size()) - 1];
 }
 
-std::string outcomeName(long status, bool whole, const std::string &body)
+std::string outcomeName(long status, bool complete, const std::string &body)
 {
     if (status == 0)
         return "connection_failed";
-    if (!whole)
+    if (!complete)
         return "cut";
     if (status < firstErrorStatus)
         return "answer";
--- a/Source/Programs/Bench/LoadReport.h
+++ b/Source/Programs/Bench/LoadReport.h
@@ -12,14 +12,14 @@
 
 namespace wisteria {
 
-/// What one worker, or all of them together, saw of the requests it sent.
+/// Results of the requests that one worker, or all workers together, sent.
 struct LoadTally
 {
     /// Time from the moment each answered request was due to its answer's last byte.
     std::vector<microseconds> latencies;
-    /// How many requests ended in which way: "answer", "not_run/queue_full", "cut".
+    /// Number of requests by outcome, such as "answer", "not_run/queue_full" or "cut".
     std::map<std::string, std::uint64_t> outcomes;
-    /// Answers that did not carry their own request's mark.
+    /// Answers that did not contain the mark of their request.
     std::uint64_t crossed = 0;
 };
 
@@ -31,10 +31,10 @@
 /// @return Zero when there are no latencies.
 microseconds percentile(const std::vector<microseconds> &sorted, double share);
 
-/// What the end of an answer is called in the report.
+/// Name of a request's outcome in the report.
 /// @param status HTTP status; 0 when the connection failed before one came.
-/// @param whole Whether the answer came to its proper end.
-std::string outcomeName(long status, bool whole, const std::string &body);
+/// @param complete Whether the answer was received up to its end.
+std::string outcomeName(long status, bool complete, const std::string &body);
 
 /// Renders the tally as the report's JSON; sorts its latencies.
 nlohmann::json renderTally(LoadTally tally, std::chrono::duration<double> elapsed);
--- a/Source/Programs/Bench/LoadTrace.cpp
+++ b/Source/Programs/Bench/LoadTrace.cpp
@@ -38,29 +38,30 @@
     return line;
 }
 
-bool allAtLeast(const std::vector<double> &numbers, double least)
+bool allFiniteAndAtLeast(const std::vector<double> &numbers, double min)
 {
     for (const double number : numbers) {
-        if (!std::isfinite(number) || number < least)
+        if (!std::isfinite(number) || number < min)
             return false;
     }
     return true;
 }
 
-/// What is wrong with a line; empty when nothing is.
+/// Describes what is wrong with a line.
+/// @return Empty when the line is valid.
 std::string lineFault(const LoadTrace &trace, const TraceLine &line)
 {
     constexpr double minSpeed = 1e-6;
     if (line.layer >= trace.group.layers)
         return "the layer is not below the header's number of layers";
-    if (line.loads.size() != trace.group.experts || !allAtLeast(line.loads, 0))
+    if (line.loads.size() != trace.group.experts || !allFiniteAndAtLeast(line.loads, 0))
         return "loads needs one number, 0 or more, for each expert";
     if (!line.expected.empty() && line.expected.size() != trace.group.experts)
         return "expected needs one number for each expert";
     const bool speeds = !line.rankSpeeds.empty();
     if (speeds && line.rankSpeeds.size() != trace.group.ranks.size())
         return "rank_speeds needs one number for each rank";
-    if (speeds && !allAtLeast(line.rankSpeeds, minSpeed))
+    if (speeds && !allFiniteAndAtLeast(line.rankSpeeds, minSpeed))
         return "rank_speeds needs numbers above 0";
     if (!trace.lines.empty() && line.at < trace.lines.back().at)
         return "at_ms goes back; sort the lines by time";
--- a/Source/Programs/Bench/LoadTrace.h
+++ b/Source/Programs/Bench/LoadTrace.h
@@ -11,7 +11,7 @@
 
 namespace wisteria {
 
-/// Loads of one layer, carried from `at` until the layer's next line.
+/// Load of each expert of one layer from `at` until the layer's next line.
 struct TraceLine
 {
     milliseconds at{0};
@@ -23,21 +23,21 @@
     std::vector<double> rankSpeeds;
 };
 
-/// A rank group and its loads over time. Lines are in the order of time.
+/// A rank group and its loads over time. The lines are sorted by time.
 struct LoadTrace
 {
     RankGroup group;
-    /// What the trace was generated with, for people; empty when unknown.
+    /// Readable description of how the trace was generated; empty when unknown.
     std::string recipe;
     std::vector<TraceLine> lines;
 };
 
 /// Reads a trace: JSON lines, of which the first describes the group.
-/// @param name What messages call the trace, usually its file name.
-/// @return BadInput that gives the line, what was expected and the remedy.
+/// @param name Name of the trace in error messages, usually its file name.
+/// @return BadInput with the line, what was expected and a remedy.
 Result<LoadTrace> readTrace(std::istream &in, const std::string &name);
 
-/// Writes a trace as readTrace() reads it.
+/// Writes a trace in the format that readTrace() reads.
 void writeTrace(std::ostream &out, const LoadTrace &trace);
 
 } // namespace wisteria
--- a/Source/Programs/Bench/LoadWorker.cpp
+++ b/Source/Programs/Bench/LoadWorker.cpp
@@ -20,7 +20,7 @@
 constexpr int eventBatch = 64;
 constexpr auto maxWait = std::chrono::milliseconds(100);
 
-/// One connection's place: a curl handle and the request it carries now.
+/// One connection: a curl handle and the request in progress.
 struct Slot
 {
     CURL *handle = nullptr;
@@ -39,11 +39,11 @@
 
 std::string withMark(const std::string &body, const std::string &mark)
 {
-    const std::size_t place = body.find('%');
-    if (place == std::string::npos)
+    const std::size_t position = body.find('%');
+    if (position == std::string::npos)
         return body;
     std::string marked = body;
-    return marked.replace(place, 1, mark);
+    return marked.replace(position, 1, mark);
 }
 
 timespec toTimespec(std::chrono::nanoseconds time)
@@ -152,11 +152,11 @@
 
     void startDueRequests(TimePoint now)
     {
-        const bool open = plan_.interval.count() > 0;
-        while (started_ < plan_.requests && !idle_.empty() && (!open || nextDue_ <= now)) {
+        const bool openLoop = plan_.interval.count() > 0;
+        while (started_ < plan_.requests && !idle_.empty() && (!openLoop || nextDue_ <= now)) {
             Slot &slot = *idle_.back();
             idle_.pop_back();
-            start(slot, open ? nextDue_ : now);
+            start(slot, openLoop ? nextDue_ : now);
             nextDue_ += plan_.interval;
         }
     }
@@ -177,7 +177,7 @@
         ++started_;
     }
 
-    std::chrono::nanoseconds untilNextStep(TimePoint now) const
+    std::chrono::nanoseconds timeUntilNextEvent(TimePoint now) const
     {
         TimePoint next = now + maxWait;
         if (timer_)
@@ -190,7 +190,7 @@
     void waitForEvents()
     {
         std::array<epoll_event, eventBatch> events = {};
-        const timespec wait = toTimespec(untilNextStep(monotonicNow()));
+        const timespec wait = toTimespec(timeUntilNextEvent(monotonicNow()));
         const int ready = epoll_pwait2(epoll_, events.data(), eventBatch, &wait, nullptr);
         int running = 0;
         for (int i = 0; i < ready; ++i) {
@@ -212,12 +212,12 @@
     {
         int left = 0;
         while (const CURLMsg *message = curl_multi_info_read(multi_, &left)) {
-            char *place = nullptr;
+            char *slotPointer = nullptr;
             CURL *handle = message->easy_handle;
             const CURLcode code = message->data.result;
-            curl_easy_getinfo(handle, CURLINFO_PRIVATE, &place);
+            curl_easy_getinfo(handle, CURLINFO_PRIVATE, &slotPointer);
             curl_multi_remove_handle(multi_, handle);
-            Slot &slot = *reinterpret_cast<Slot *>(place);
+            Slot &slot = *reinterpret_cast<Slot *>(slotPointer);
             count(slot, code, now);
             idle_.push_back(&slot);
             ++ended_;
--- a/Source/Programs/Bench/LoadWorker.h
+++ b/Source/Programs/Bench/LoadWorker.h
@@ -13,7 +13,7 @@
 /// The requests that one worker sends.
 struct LoadPlan
 {
-    /// Addresses that take turns.
+    /// URLs that the requests use in turn.
     std::vector<std::string> urls;
     /// Headers of each request, "Name: value".
     std::vector<std::string> headers;
@@ -21,18 +21,18 @@
     std::string body;
     /// Whether each request gets a fresh idempotency key and counts as not idempotent.
     bool keyed = false;
-    /// Time between the moments requests are due; zero sends as fast as answers come.
+    /// Time between the due times of requests; zero sends a request as soon as an answer arrives.
     std::chrono::nanoseconds interval = std::chrono::nanoseconds(0);
-    /// Requests that may be on their way at once, each on a connection of its own.
+    /// Maximum number of concurrent requests, each on a separate connection.
     std::uint32_t connections = 1;
     std::uint64_t requests = 1;
-    /// Begins each request's mark; differs from worker to worker.
+    /// Prefix of each request's mark; unique per worker.
     std::string markPrefix;
     milliseconds timeout = milliseconds(30000);
 };
 
-/// Sends a plan's requests from one thread and times the answers. At a set rate the load is open:
-/// a request that has to wait for a free connection is timed from the moment it was due.
+/// Sends a plan's requests from one thread and measures latencies. At a set rate the load is
+/// open-loop: the latency of a request that waits for a free connection counts from its due time.
 class LoadWorker
 {
 public:
@@ -41,7 +41,7 @@
     LoadWorker(const LoadWorker &) = delete;
     LoadWorker &operator=(const LoadWorker &) = delete;
 
-    /// Sends every request and waits for the last answer.
+    /// Sends all requests and waits for the last answer.
     LoadTally run();
 
 private:
--- a/Source/Programs/Bench/PlacementReplay.cpp
+++ b/Source/Programs/Bench/PlacementReplay.cpp
@@ -23,8 +23,8 @@
     PlacementDecision decision;
 };
 
-/// The best map found for known loads, whatever it costs: the better of a fresh map and of the last
-/// best one, each improved until nothing gains.
+/// Searches the best map for known loads, regardless of the cost of a change. It improves a greedy
+/// map and the previous best map until no move gains, and keeps the better one.
 class FloorSearch
 {
 public:
@@ -39,13 +39,13 @@
         limits.maxMoves = static_cast<std::uint32_t>(group.ranks.size()) * group.experts;
         limits.minGainPerMove = 1e-6;
         SearchBudget budget;
-        const LayerMap fresh = greedyLayerMap(group, loads);
-        LayerMap best = improveLayerMap(group, fresh, fresh, problem, limits, budget).map;
+        const LayerMap greedy = greedyLayerMap(group, loads);
+        LayerMap best = improveLayerMap(group, greedy, greedy, problem, limits, budget).map;
         if (!maps_[layer].ranks.empty()) {
             const LayerMap &last = maps_[layer];
-            LayerMap kept = improveLayerMap(group, last, last, problem, limits, budget).map;
-            if (layerSkew(group, kept, loads) < layerSkew(group, best, loads))
-                best = std::move(kept);
+            LayerMap improved = improveLayerMap(group, last, last, problem, limits, budget).map;
+            if (layerSkew(group, improved, loads) < layerSkew(group, best, loads))
+                best = std::move(improved);
         }
         maps_[layer] = std::move(best);
         return maps_[layer];
@@ -68,7 +68,7 @@
     void scheduleReports();
     std::optional<milliseconds> nextTime() const;
     void finishSwitch(milliseconds now);
-    void carry(const TraceLine &line);
+    void applyLine(const TraceLine &line);
     void measureFloors(const TraceLine &line);
     Result<void> addReports(milliseconds now);
     Result<void> decide(milliseconds now);
@@ -76,17 +76,17 @@
     void remeasure(std::uint32_t layer, milliseconds now);
     void publish(milliseconds now, std::uint32_t layer);
     ReplayResult result();
-    microseconds decidePercentile(double part);
+    microseconds decidePercentile(double fraction);
 
     const LoadTrace &trace_;
     const ReplayOptions &options_;
-    /// The group as it is, and as the reports have told so far.
+    /// The group with its actual rank speeds, and with those reported so far.
     RankGroup group_;
     RankGroup knownGroup_;
     milliseconds begin_;
     milliseconds end_;
     PlacementState state_;
-    std::vector<std::vector<double>> carried_;
+    std::vector<std::vector<double>> loads_;
     std::size_t nextLine_ = 0;
     Reports reports_;
     std::optional<PendingSwitch> pending_;
@@ -104,7 +104,7 @@
 Replay::Replay(const LoadTrace &trace, const ReplayOptions &options)
     : trace_(trace), options_(options), group_(trace.group), knownGroup_(trace.group),
       begin_(trace.lines.front().at), end_(trace.lines.back().at),
-      carried_(trace.group.layers, std::vector<double>(trace.group.experts, 0.0)),
+      loads_(trace.group.layers, std::vector<double>(trace.group.experts, 0.0)),
       skew_(trace.group.layers, begin_, end_, seriesBuckets),
       bound_(trace.group.layers, begin_, end_, seriesBuckets),
       noiseFree_(trace.group.layers, begin_, end_, seriesBuckets),
@@ -141,7 +141,7 @@
 
 void Replay::remeasure(std::uint32_t layer, milliseconds now)
 {
-    skew_.set(layer, now, layerSkew(group_, state_.layers[layer].map, carried_[layer]));
+    skew_.set(layer, now, layerSkew(group_, state_.layers[layer].map, loads_[layer]));
 }
 
 void Replay::publish(milliseconds now, std::uint32_t layer)
@@ -178,9 +178,9 @@
     noiseFree_.set(line.layer, line.at, layerSkew(group_, floor, line.loads));
 }
 
-void Replay::carry(const TraceLine &line)
+void Replay::applyLine(const TraceLine &line)
 {
-    carried_[line.layer] = line.loads;
+    loads_[line.layer] = line.loads;
     for (std::size_t rank = 0; rank < line.rankSpeeds.size(); ++rank)
         group_.ranks[rank].speed = line.rankSpeeds[rank];
     if (line.rankSpeeds.empty()) {
@@ -251,7 +251,7 @@
         if (pending_ && pending_->at == *now)
             finishSwitch(*now);
         for (; nextLine_ < trace_.lines.size() && trace_.lines[nextLine_].at == *now; ++nextLine_)
-            carry(trace_.lines[nextLine_]);
+            applyLine(trace_.lines[nextLine_]);
         const bool reported = !reports_.empty() && reports_.begin()->first == *now;
         BOOST_OUTCOME_TRYV(addReports(*now));
         if (reported) {
@@ -261,13 +261,13 @@
     return result();
 }
 
-microseconds Replay::decidePercentile(double part)
+microseconds Replay::decidePercentile(double fraction)
 {
     if (decideTimes_.empty())
         return microseconds(0);
     std::sort(decideTimes_.begin(), decideTimes_.end());
     const auto last = static_cast<double>(decideTimes_.size() - 1);
-    return decideTimes_[static_cast<std::size_t>(std::ceil(part * last))];
+    return decideTimes_[static_cast<std::size_t>(std::ceil(fraction * last))];
 }
 
 ReplayResult Replay::result()
--- a/Source/Programs/Bench/PlacementReplay.h
+++ b/Source/Programs/Bench/PlacementReplay.h
@@ -14,11 +14,11 @@
 {
     PlacementPolicy policy = PlacementPolicy::CostAware;
     /// Time from a line's at_ms until the decision sees its loads. Absent: until the layer's next
-    /// line, as loads can't be counted before they were carried.
+    /// line, as loads are counted only after they were processed.
     std::optional<milliseconds> reportLag;
-    /// Whether to search the best maps for the noise-free loads as well, which takes longer.
+    /// Whether to also search the best maps regardless of cost, which takes longer.
     bool floors = false;
-    /// Measures the decisions; the replay itself reads no clock.
+    /// Clock that measures how long decisions take; the replay itself runs in virtual time.
     std::function<TimePoint()> clock;
     /// Called with each layer's map as it comes into force.
     std::function<void(milliseconds at, std::uint32_t layer, const LayerMap &map)> mapInForce;
@@ -31,16 +31,16 @@
     double skew = 1;
 };
 
-/// What a replay measured.
+/// Results of a replay.
 struct ReplayResult
 {
     double meanSkew = 1;
     double p99Skew = 1;
     double lowerBoundMeanSkew = 1;
-    /// Mean skew of the best maps found for the noise-free loads, in force at once and free of
-    /// charge; absent when not asked for or when the trace does not give those loads.
+    /// Mean skew of the best maps found for the noise-free loads, in force immediately and
+    /// without cost; absent when not requested or when the trace lacks those loads.
     std::optional<double> noiseFreeFloorMeanSkew;
-    /// The same for the loads as carried: the best that could be found knowing the noise.
+    /// The same for the actual loads, that is, with the noise known in advance.
     std::optional<double> bestFoundMeanSkew;
     std::uint64_t moves = 0;
     std::uint64_t movedBytes = 0;
@@ -55,7 +55,7 @@
 
 /// Replays a trace in virtual time. New weights are staged one after another at the store's rate;
 /// then all layers of a decision switch together, which stalls the group for one step.
-/// @return BadInput for a trace of no duration.
+/// @return BadInput for a trace without a duration.
 Result<ReplayResult> replayTrace(const LoadTrace &trace, const ReplayOptions &options);
 
 } // namespace wisteria
--- a/Source/Programs/Bench/ProcessUsage.cpp
+++ b/Source/Programs/Bench/ProcessUsage.cpp
@@ -15,7 +15,8 @@
 constexpr int userTicksField = 11;
 constexpr int residentPagesField = 21;
 
-/// The name may hold spaces, so the fields are counted from the last closing bracket.
+/// The program's name may contain spaces and brackets, so the fields are counted from the last
+/// closing bracket.
 std::istringstream fieldsAfterName(const std::string &line)
 {
     const std::size_t bracket = line.rfind(')');
--- a/Source/Programs/Bench/ProcessUsage.h
+++ b/Source/Programs/Bench/ProcessUsage.h
@@ -12,7 +12,7 @@
 
 namespace wisteria {
 
-/// What the kernel says a process has used.
+/// Resources that a process uses, as /proc reports them.
 struct ProcessUsage
 {
     microseconds processorTime = microseconds(0);
@@ -23,16 +23,18 @@
 /// @return NotFound when there is no such process.
 Result<ProcessUsage> readProcessUsage(pid_t pid);
 
-/// Follows the usage of one process over a run.
+/// Measures the usage of one process over a run.
 class ProcessWatch
 {
 public:
     explicit ProcessWatch(pid_t pid) : pid_(pid) { }
 
-    /// Takes one sample; the first one is what the others are compared with.
+    /// Reads the usage once. The first sample is the baseline.
+    /// @return NotFound when the process has ended.
     Result<void> sample();
 
-    /// Renders what was used since the first sample.
+    /// Renders the usage since the first sample as JSON.
+    /// @param requests Number of requests that the processor time is divided by.
     nlohmann::json render(std::uint64_t requests) const;
 
 private:
--- a/Source/Programs/Bench/SkewMeter.cpp
+++ b/Source/Programs/Bench/SkewMeter.cpp
@@ -30,9 +30,9 @@
 {
     spans_.emplace_back(skew, to - from);
     const auto position = static_cast<double>((from - begin_).count());
-    const auto whole = static_cast<double>((end_ - begin_).count());
+    const auto duration = static_cast<double>((end_ - begin_).count());
     const auto buckets = static_cast<double>(bucketSkew_.size());
-    const auto bucket = static_cast<std::size_t>(position / whole * buckets);
+    const auto bucket = static_cast<std::size_t>(position / duration * buckets);
     const auto time = static_cast<double>((to - from).count());
     bucketSkew_[std::min(bucket, bucketSkew_.size() - 1)] += skew * time;
     bucketTime_[std::min(bucket, bucketSkew_.size() - 1)] += time;
@@ -51,16 +51,16 @@
 
 double SkewMeter::p99() const
 {
-    constexpr double part = 0.99;
+    constexpr double fraction = 0.99;
     std::vector<std::pair<double, milliseconds>> sorted = spans_;
     std::sort(sorted.begin(), sorted.end());
-    milliseconds whole{0};
+    milliseconds total{0};
     for (const auto &span : sorted)
-        whole += span.second;
+        total += span.second;
     milliseconds passed{0};
     for (const auto &[skew, duration] : sorted) {
         passed += duration;
-        if (static_cast<double>(passed.count()) >= part * static_cast<double>(whole.count()))
+        if (static_cast<double>(passed.count()) >= fraction * static_cast<double>(total.count()))
             return skew;
     }
     return 1.0;
--- a/Source/Programs/Bench/SkewMeter.h
+++ b/Source/Programs/Bench/SkewMeter.h
@@ -7,23 +7,23 @@
 
 namespace wisteria {
 
-/// Sums up each layer's skew over virtual time.
+/// Records each layer's skew over virtual time.
 class SkewMeter
 {
 public:
-    /// @param buckets Parts of the duration that series() tells apart.
+    /// @param buckets Number of equal parts of the duration, each at most one sample of series().
     SkewMeter(std::uint32_t layers, milliseconds begin, milliseconds end, std::size_t buckets);
 
-    /// Says that from now on a layer has this skew. Calls come in the order of time.
+    /// Sets the skew of a layer from `now` on. Calls must be in order of time.
     void set(std::uint32_t layer, milliseconds now, double skew);
 
-    /// Closes the measurement at the end of the trace.
+    /// Counts the last skew of each layer until the end of the trace.
     void finish();
 
     /// Mean over time and layers.
     double mean() const;
 
-    /// The skew that 99 in 100 steps of a layer don't exceed.
+    /// 99th percentile of the skew over time and layers.
     double p99() const;
 
     std::vector<SkewSample> series() const;
--- a/Source/Programs/Bench/TraceGenerator.cpp
+++ b/Source/Programs/Bench/TraceGenerator.cpp
@@ -20,25 +20,25 @@
 }};
 
 constexpr std::chrono::hours day(24);
-/// Tokens a layer processes between two reports, on the day's average.
+/// Tokens that a layer processes between two reports, averaged over a day.
 constexpr double tokensPerReport = 1e6;
-/// The day's volume swings by this share of the average.
+/// Amplitude of the daily change of the volume, relative to the average.
 constexpr double volumeSwing = 0.5;
-/// A swinging expert's popularity reaches exp(+-this) times its average.
+/// A drifting expert's popularity is at most a factor exp(popularitySwing) above or below its base.
 constexpr double popularitySwing = 0.7;
-/// A hot expert's popularity relative to the most popular one's.
+/// A hot expert's popularity relative to that of the most popular expert.
 constexpr double hotPopularity = 1.5;
 constexpr double slowSpeed = 0.7;
-/// Tokens are written to this many parts of one, so that traces stay small.
-constexpr double tokenParts = 10.0;
+/// Token counts are rounded to the inverse of this number, so that traces stay small.
+constexpr double partsPerToken = 10.0;
 
-/// Draws that are the same with every standard library, whose own distributions differ.
-class Draws
+/// Random numbers that are the same with every standard library, whose distributions differ.
+class PortableRandom
 {
 public:
-    explicit Draws(std::uint64_t seed) : engine_(seed) { }
+    explicit PortableRandom(std::uint64_t seed) : engine_(seed) { }
 
-    /// Between 0 and 1, never 0 itself.
+    /// Uniform in (0, 1].
     double uniform() { return (static_cast<double>(engine_() >> 11) + 1.0) * 0x1p-53; }
 
     std::size_t below(std::size_t bound) { return engine_() % bound; }
@@ -63,10 +63,10 @@
     ExpertId hot = 0;
 };
 
-void shuffle(std::vector<double> &values, Draws &draws)
+void shuffle(std::vector<double> &values, PortableRandom &random)
 {
     for (std::size_t i = values.size(); i > 1; --i)
-        std::swap(values[i - 1], values[draws.below(i)]);
+        std::swap(values[i - 1], values[random.below(i)]);
 }
 
 std::vector<double> zipfPopularity(std::uint32_t experts, double exponent)
@@ -77,38 +77,38 @@
     return popularity;
 }
 
-/// Every second expert of the layer takes the popularity of another of them.
-std::vector<double> changeHalf(const std::vector<double> &base, Draws &draws)
+/// Shuffles the popularities of every second expert.
+std::vector<double> changeHalf(const std::vector<double> &base, PortableRandom &random)
 {
     std::vector<double> half;
     for (std::size_t i = 0; i < base.size(); i += 2)
         half.push_back(base[i]);
-    shuffle(half, draws);
+    shuffle(half, random);
     std::vector<double> changed = base;
     for (std::size_t i = 0; i < base.size(); i += 2)
         changed[i] = half[i / 2];
     return changed;
 }
 
-ExpertId coldExpert(const std::vector<double> &base, Draws &draws)
+ExpertId coldExpert(const std::vector<double> &base, PortableRandom &random)
 {
-    const double middle = std::accumulate(base.begin(), base.end(), 0.0) / base.size();
+    const double mean = std::accumulate(base.begin(), base.end(), 0.0) / base.size();
     ExpertId expert = 0;
     do {
-        expert = static_cast<ExpertId>(draws.below(base.size()));
-    } while (base[expert] > middle);
+        expert = static_cast<ExpertId>(random.below(base.size()));
+    } while (base[expert] > mean);
     return expert;
 }
 
-LayerPopularity drawPopularity(const TraceRecipe &recipe, Draws &draws)
+LayerPopularity drawPopularity(const TraceRecipe &recipe, PortableRandom &random)
 {
     LayerPopularity popularity;
     popularity.base = zipfPopularity(recipe.group.experts, recipe.zipfExponent);
-    shuffle(popularity.base, draws);
+    shuffle(popularity.base, random);
     for (std::uint32_t i = 0; i < recipe.group.experts; ++i)
-        popularity.phase.push_back(2.0 * std::numbers::pi * draws.uniform());
-    popularity.changed = changeHalf(popularity.base, draws);
-    popularity.hot = coldExpert(popularity.base, draws);
+        popularity.phase.push_back(2.0 * std::numbers::pi * random.uniform());
+    popularity.changed = changeHalf(popularity.base, random);
+    popularity.hot = coldExpert(popularity.base, random);
     return popularity;
 }
 
@@ -147,11 +147,11 @@
 
 double roundTokens(double tokens)
 {
-    return std::round(tokens * tokenParts) / tokenParts;
+    return std::round(tokens * partsPerToken) / partsPerToken;
 }
 
 TraceLine makeLine(const TraceRecipe &recipe, const LayerPopularity &popularity,
-                   std::uint32_t report, Draws &draws)
+                   std::uint32_t report, PortableRandom &random)
 {
     TraceLine line;
     line.at = report * recipe.interval;
@@ -160,7 +160,7 @@
     const double volume = tokensPerReport * (1.0 + volumeSwing * std::sin(dayAngle(line.at)));
     for (double &tokens : line.expected) {
         tokens *= volume / sum;
-        const double noisy = tokens * std::max(0.0, 1.0 + recipe.noise * draws.normal());
+        const double noisy = tokens * std::max(0.0, 1.0 + recipe.noise * random.normal());
         line.loads.push_back(roundTokens(noisy));
         tokens = roundTokens(tokens);
     }
@@ -193,17 +193,17 @@
 
 LoadTrace generateTrace(const TraceRecipe &recipe)
 {
-    Draws draws(recipe.seed);
+    PortableRandom random(recipe.seed);
     std::vector<LayerPopularity> layers;
     for (std::uint32_t layer = 0; layer < recipe.group.layers; ++layer)
-        layers.push_back(drawPopularity(recipe, draws));
-    const std::size_t slowRank = draws.below(recipe.group.ranks.size());
+        layers.push_back(drawPopularity(recipe, random));
+    const std::size_t slowRank = random.below(recipe.group.ranks.size());
     LoadTrace trace;
     trace.group = recipe.group;
     trace.recipe = describe(recipe);
     for (std::uint32_t report = 0; report < recipe.reports; ++report) {
         for (std::uint32_t layer = 0; layer < recipe.group.layers; ++layer) {
-            trace.lines.push_back(makeLine(recipe, layers[layer], report, draws));
+            trace.lines.push_back(makeLine(recipe, layers[layer], report, random));
             trace.lines.back().layer = layer;
         }
         if (recipe.kind == TraceKind::SlowRank && report == recipe.reports / 3) {
--- a/Source/Programs/Bench/TraceGenerator.h
+++ b/Source/Programs/Bench/TraceGenerator.h
@@ -8,22 +8,22 @@
 
 namespace wisteria {
 
-/// What happens to the loads over a trace.
+/// How the loads change over a trace.
 enum class TraceKind {
-    DailyDrift, ///< Each expert's popularity swings once a day, each with a phase of its own.
-    HotExpert, ///< A cold expert of each layer is hot at once, from a third to two thirds.
-    CatalogueChange, ///< Half of the experts change their popularity half-way.
-    Noise, ///< Nothing but noise.
-    SlowRank, ///< One rank is slow from a third of the trace on.
+    DailyDrift, ///< Each expert's popularity follows a daily cycle with a random phase.
+    HotExpert, ///< One cold expert of each layer is hot in the middle third of the trace.
+    CatalogueChange, ///< Half of the experts swap popularities in the middle of the trace.
+    Noise, ///< Constant popularity with noise.
+    SlowRank, ///< One rank is slow after the first third of the trace.
 };
 
-/// Everything that a generated trace depends on.
+/// All parameters of a generated trace.
 struct TraceRecipe
 {
     TraceKind kind = TraceKind::DailyDrift;
     RankGroup group;
     std::uint64_t seed = 1;
-    /// Reports of each layer, and the time between two.
+    /// Number of reports of each layer, and the time between two reports.
     std::uint32_t reports = 1440;
     milliseconds interval{60000};
     /// Exponent of the Zipf-like popularity of the experts.
@@ -32,11 +32,11 @@
     double noise = 0.08;
 };
 
-/// The kind of that name, such as "daily-drift".
-/// @return BadInput that lists the names.
+/// Parses the name of a kind, such as "daily-drift".
+/// @return BadInput that lists the known names when the name is unknown.
 Result<TraceKind> traceKindFromName(const std::string &name);
 
-/// Generates a trace. Deterministic in the recipe.
+/// Generates a trace. Equal recipes give equal traces.
 LoadTrace generateTrace(const TraceRecipe &recipe);
 
 } // namespace wisteria
--- a/Source/Programs/Ctl/CtlCommands.cpp
+++ b/Source/Programs/Ctl/CtlCommands.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// What a call may take beyond the time that the admin was asked to wait.
+/// Time that a call may take beyond the timeout that the admin gets with the request.
 constexpr milliseconds callGrace(5000);
 
 struct Session
@@ -44,7 +44,8 @@
     return text.str();
 }
 
-/// A token as it stands in a file, without the line's end.
+/// Reads a token from a file and removes trailing white space.
+/// @return An empty token for an empty path.
 Result<std::string> readToken(const std::string &path)
 {
     if (path.empty())
@@ -54,20 +55,20 @@
     return text;
 }
 
-ExitCode usage(std::ostream &err, const std::string &message)
+ExitCode reportUsageError(std::ostream &err, const std::string &message)
 {
     err << "wisteriactl: " << message << "\n";
     return ExitUsage;
 }
 
-ExitCode needArgument(const Session &session, const char *what)
+ExitCode reportMissingArgument(const Session &session, const char *what)
 {
-    return usage(session.err,
-                 session.options.command + " needs " + what + "; see 'wisteriactl --help'");
+    return reportUsageError(
+        session.err, session.options.command + " needs " + what + "; see 'wisteriactl --help'");
 }
 
-/// Whether the admin itself said no, so that nothing of the call had an effect.
-bool saidNo(const grpc::Status &status)
+/// Whether the admin itself refused the call, which proves that the call had no effect.
+bool isRefusal(const grpc::Status &status)
 {
     switch (status.error_code()) {
     case grpc::StatusCode::INVALID_ARGUMENT:
@@ -84,16 +85,16 @@
 ExitCode reportStatus(const Session &session, const grpc::Status &status)
 {
     session.err << "wisteriactl: " << status.error_message() << "\n";
-    return saidNo(status) ? ExitRefused : ExitUnreachable;
+    return isRefusal(status) ? ExitRefused : ExitUnreachable;
 }
 
-/// What a failed call that changes something means. Failure guarded against: the admin dies after
-/// its append, the call fails, and the operator is told that nothing happened. Only an answer of
-/// the admin itself proves that; any other end is "not yet known".
+/// Reports a failed call of a change. Guards against this failure: the admin dies after its append,
+/// the call fails, and the operator is told that nothing changed. Only an answer of the admin
+/// proves that; any other failure is "not yet known".
 ExitCode reportChangeStatus(const Session &session, const grpc::Status &status,
                             const std::string &changeId)
 {
-    if (saidNo(status)) {
+    if (isRefusal(status)) {
         session.err << "refused: " << status.error_message() << "\n";
         return ExitRefused;
     }
@@ -167,7 +168,7 @@
     return reply.done() ? ExitDone : ExitNotEverywhere;
 }
 
-void sign(const Options &options, v1::ChangeRecord &change)
+void setChangeMetadata(const Options &options, v1::ChangeRecord &change)
 {
     change.set_change_id(changeIdOf(options));
     change.set_who(options.who);
@@ -178,14 +179,14 @@
 v1::ApplyRequest requestFor(const Session &session, v1::ChangeRecord change)
 {
     v1::ApplyRequest request;
-    sign(session.options, change);
+    setChangeMetadata(session.options, change);
     *request.mutable_change() = std::move(change);
     request.set_first_attempt(session.options.changeId.empty());
     request.set_timeout_ms(static_cast<std::uint32_t>(session.options.timeout.count()));
     return request;
 }
 
-ExitCode afterApply(const Session &session, const v1::ApplyReply &reply)
+ExitCode finishApply(const Session &session, const v1::ApplyReply &reply)
 {
     const ExitCode code = printApply(reply, session.options.json, session.out);
     if (code == ExitDone && session.options.watch)
@@ -202,7 +203,7 @@
     const grpc::Status status = session.admin.Apply(&context, request, &reply);
     if (!status.ok())
         return reportChangeStatus(session, status, request.change().change_id());
-    return afterApply(session, reply);
+    return finishApply(session, reply);
 }
 
 ExitCode dryRunChange(const Session &session, const v1::ChangeRecord &change)
@@ -219,30 +220,30 @@
     return printDryRun(reply, session.options.json, session.out);
 }
 
-/// Reads the file and works out the change, then hands it to `act`.
+/// Computes the change from the configuration in force to the file, and passes it to `action`.
 ExitCode withFile(const Session &session,
-                  const std::function<ExitCode(const Session &, const v1::ChangeRecord &)> &act)
+                  const std::function<ExitCode(const Session &, const v1::ChangeRecord &)> &action)
 {
     if (session.options.arguments.size() != 1)
-        return needArgument(session, "one file");
+        return reportMissingArgument(session, "one file");
     const std::string &path = session.options.arguments.front();
     const auto text = readText(path);
     if (!text)
-        return usage(session.err, text.error().message);
+        return reportUsageError(session.err, text.error().message);
     const auto file = parseConfigFile(text.value(), path);
     if (!file)
-        return usage(session.err, file.error().message);
+        return reportUsageError(session.err, file.error().message);
     grpc::Status status;
-    const auto present = list(session, v1::OBJECT_KIND_UNSPECIFIED, 0, status);
-    if (!present)
+    const auto current = list(session, v1::OBJECT_KIND_UNSPECIFIED, 0, status);
+    if (!current)
         return reportStatus(session, status);
-    const v1::ChangeRecord change = changeFromFile(file.value(), byKey(present.value()));
+    const v1::ChangeRecord change = changeFromFile(file.value(), byKey(current.value()));
     if (change.changes().empty()) {
         session.out << (session.options.json ? "{\"unchanged\":true}" : "nothing to change")
                     << "\n";
         return ExitDone;
     }
-    return act(session, change);
+    return action(session, change);
 }
 
 ExitCode runApply(const Session &session)
@@ -262,7 +263,7 @@
     if (!arguments.empty()) {
         const auto named = kindFromName(arguments[0]);
         if (!named)
-            return needArgument(session, "a known kind");
+            return reportMissingArgument(session, "a known kind");
         kind = *named;
     }
     grpc::Status status;
@@ -286,21 +287,21 @@
     const auto &arguments = session.options.arguments;
     const auto kind = arguments.size() == 2 ? kindFromName(arguments[0]) : std::nullopt;
     if (!kind)
-        return needArgument(session, "a kind and a name");
+        return reportMissingArgument(session, "a kind and a name");
     grpc::Status status;
-    const auto present = list(session, *kind, 0, status);
-    if (!present)
+    const auto current = list(session, *kind, 0, status);
+    if (!current)
         return reportStatus(session, status);
     ConfigFile file;
-    file.asOf = present.value().position();
+    file.asOf = current.value().position();
     file.removals.push_back({*kind, arguments[1]});
-    return applyChange(session, changeFromFile(file, byKey(present.value())));
+    return applyChange(session, changeFromFile(file, byKey(current.value())));
 }
 
 ExitCode setDraining(const Session &session, bool draining)
 {
     if (session.options.arguments.size() != 1)
-        return needArgument(session, "the name of one backend server");
+        return reportMissingArgument(session, "the name of one backend server");
     v1::DrainRequest request;
     request.set_backend_server(session.options.arguments.front());
     request.set_draining(draining);
@@ -316,7 +317,7 @@
     const grpc::Status status = session.admin.Drain(&context, request, &reply);
     if (!status.ok())
         return reportChangeStatus(session, status, request.change_id());
-    return afterApply(session, reply);
+    return finishApply(session, reply);
 }
 
 std::optional<Offset> versionArgument(const Session &session)
@@ -334,17 +335,17 @@
 {
     const auto version = versionArgument(session);
     if (!version || *version == 0)
-        return needArgument(session, "the number of a version");
+        return reportMissingArgument(session, "the number of a version");
     grpc::Status status;
-    const auto present = list(session, v1::OBJECT_KIND_UNSPECIFIED, 0, status);
-    if (!present)
+    const auto current = list(session, v1::OBJECT_KIND_UNSPECIFIED, 0, status);
+    if (!current)
         return reportStatus(session, status);
-    const auto former = list(session, v1::OBJECT_KIND_UNSPECIFIED, *version, status);
-    if (!former)
+    const auto target = list(session, v1::OBJECT_KIND_UNSPECIFIED, *version, status);
+    if (!target)
         return reportStatus(session, status);
-    v1::ChangeRecord change = revertingChange(byKey(former.value()), byKey(present.value()));
+    v1::ChangeRecord change = revertingChange(byKey(target.value()), byKey(current.value()));
     change.set_restores_version(*version);
-    change.set_base_position(present.value().position());
+    change.set_base_position(current.value().position());
     if (change.changes().empty()) {
         session.out << "nothing to change\n";
         return ExitDone;
@@ -355,7 +356,7 @@
 ExitCode runOutcome(const Session &session)
 {
     if (session.options.arguments.size() != 1)
-        return needArgument(session, "a change id");
+        return reportMissingArgument(session, "a change id");
     v1::OutcomeRequest request;
     request.set_change_id(session.options.arguments.front());
     request.set_cancel(session.options.cancel);
@@ -375,12 +376,12 @@
     if (version)
         return watchVersion(session, *version);
     if (!session.options.arguments.empty())
-        return needArgument(session, "the number of a version");
+        return reportMissingArgument(session, "the number of a version");
     grpc::Status status;
-    const auto present = list(session, v1::OBJECT_KIND_UNSPECIFIED, 0, status);
-    if (!present)
+    const auto current = list(session, v1::OBJECT_KIND_UNSPECIFIED, 0, status);
+    if (!current)
         return reportStatus(session, status);
-    return watchVersion(session, present.value().version());
+    return watchVersion(session, current.value().version());
 }
 
 ExitCode runStatus(const Session &session)
@@ -402,7 +403,7 @@
     if (!arguments.empty()) {
         const auto kind = kindFromName(arguments[0]);
         if (!kind)
-            return needArgument(session, "a known kind");
+            return reportMissingArgument(session, "a known kind");
         request.set_kind(*kind);
     }
     if (arguments.size() > 1)
@@ -420,14 +421,14 @@
 ExitCode checkFile(const Options &options, std::ostream &out, std::ostream &err)
 {
     if (options.arguments.size() != 1)
-        return usage(err, "check needs one file; see 'wisteriactl --help'");
+        return reportUsageError(err, "check needs one file; see 'wisteriactl --help'");
     const std::string &path = options.arguments.front();
     const auto text = readText(path);
     if (!text)
-        return usage(err, text.error().message);
+        return reportUsageError(err, text.error().message);
     const auto file = parseConfigFile(text.value(), path);
     if (!file)
-        return usage(err, file.error().message);
+        return reportUsageError(err, file.error().message);
     const std::vector<std::string> mistakes = checkConfigFile(file.value());
     for (const std::string &mistake : mistakes)
         err << path << ": " << mistake << "\n";
@@ -454,7 +455,7 @@
     }
     const auto token = readToken(options.arguments.empty() ? "" : options.arguments.front());
     if (!token || token.value().empty())
-        return usage(err, "hash-token needs a file that holds a token");
+        return reportUsageError(err, "hash-token needs a file that holds a token");
     out << sha256Of(token.value()) << "\n";
     return ExitDone;
 }
@@ -464,7 +465,7 @@
 {
     const auto token = readToken(options.tokenFile);
     if (!token)
-        return usage(err, token.error().message);
+        return reportUsageError(err, token.error().message);
     const Session session{options, admin, out, err, token.value()};
     static const std::map<std::string, std::function<ExitCode(const Session &)>> handlers = {
         {"apply", runApply},
--- a/Source/Programs/Ctl/CtlCommands.h
+++ b/Source/Programs/Ctl/CtlCommands.h
@@ -7,13 +7,13 @@
 
 namespace wisteria::ctl {
 
-/// Whether a command needs no admin.
+/// Whether a command runs without an admin.
 bool runsOffline(const std::string &command);
 
-/// Runs a command that needs no admin.
+/// Runs a command for which runsOffline() is true.
 ExitCode runOffline(const Options &options, std::ostream &out, std::ostream &err);
 
-/// Runs a command against an admin.
+/// Runs a command that calls an admin.
 ExitCode runOnline(const Options &options, v1::Operator::StubInterface &admin, std::ostream &out,
                    std::ostream &err);
 
--- a/Source/Programs/Ctl/CtlOptions.cpp
+++ b/Source/Programs/Ctl/CtlOptions.cpp
@@ -16,7 +16,7 @@
     return value == nullptr ? "" : value;
 }
 
-/// Options that take a value, for the parser, the help text and completion alike.
+/// Description of an option for the help text and for completion.
 struct OptionHelp
 {
     const char *name;
--- a/Source/Programs/Ctl/CtlOptions.h
+++ b/Source/Programs/Ctl/CtlOptions.h
@@ -9,22 +9,22 @@
 
 namespace wisteria::ctl {
 
-/// What scripts read from wisteriactl.
+/// Exit codes of wisteriactl.
 enum ExitCode {
     ExitDone = 0, ///< Done; a change is in force.
     ExitUsage = 1, ///< Wrong command line or file; nothing was sent.
     ExitRefused = 2, ///< Refused; nothing changed.
-    ExitNotYetKnown = 3, ///< The change may still be accepted: ask with `outcome`.
+    ExitNotYetKnown = 3, ///< The change may still be accepted; query it with `outcome`.
     ExitUnreachable = 4, ///< No admin answers; nothing was sent.
     ExitNotEverywhere = 5, ///< Some process lags, is silent, or the log can't be followed.
     ExitNeedsConfirmation = 6, ///< Held back until confirmed by the digest that was printed.
 };
 
-/// The command line.
+/// The parsed command line.
 struct Options
 {
     std::string command;
-    /// What follows the command: a file, a kind and name, a change id, a version.
+    /// Arguments after the command: a file, a kind and name, a change id, a version.
     std::vector<std::string> arguments;
     std::string admin;
     std::string tokenFile;
@@ -40,7 +40,7 @@
     bool watch = false;
 };
 
-/// One command, for help and completion.
+/// Description of a command for the help text and for completion.
 struct CommandHelp
 {
     const char *name;
@@ -58,7 +58,7 @@
 std::string completionScript();
 
 /// Parses the command line.
-/// @return BadInput with the remedy.
+/// @return BadInput with a remedy when it is invalid.
 Result<Options> parseOptions(const std::vector<std::string> &arguments);
 
 } // namespace wisteria::ctl
--- a/Source/Programs/Ctl/CtlOutput.cpp
+++ b/Source/Programs/Ctl/CtlOutput.cpp
@@ -12,9 +12,9 @@
 
 std::string timeText(std::int64_t unixMilliseconds)
 {
-    const std::time_t moment = unixMilliseconds / 1000;
+    const std::time_t unixSeconds = unixMilliseconds / 1000;
     std::tm utc = {};
-    gmtime_r(&moment, &utc);
+    gmtime_r(&unixSeconds, &utc);
     char text[32];
     std::strftime(text, sizeof text, "%Y-%m-%d %H:%M:%S UTC", &utc);
     return text;
--- a/Source/Programs/Ctl/CtlOutput.h
+++ b/Source/Programs/Ctl/CtlOutput.h
@@ -10,19 +10,19 @@
 /// A message as JSON with the schema's field names.
 std::string jsonText(const google::protobuf::Message &message);
 
-/// What became of a change.
-/// @return The exit code.
+/// Prints the outcome of a change.
+/// @return The exit code for this outcome.
 ExitCode printApply(const v1::ApplyReply &reply, bool json, std::ostream &out);
 
-/// What a change would do.
-/// @return The exit code.
+/// Prints the differences and effects of a change that was not applied.
+/// @return The exit code for this result.
 ExitCode printDryRun(const v1::DryRunReply &reply, bool json, std::ostream &out);
 
-/// A table of the fleet.
-/// @return The exit code.
+/// Prints the state of all processes as a table.
+/// @return ExitNotEverywhere when a process lags or is silent, or the log can't be followed.
 ExitCode printStatus(const v1::StatusReply &reply, bool json, std::ostream &out);
 
-/// The audit trail, newest last.
+/// Prints the audit trail, newest change last.
 void printHistory(const v1::HistoryReply &reply, bool json, std::ostream &out);
 
 } // namespace wisteria::ctl
--- a/Source/Programs/Ctl/Main.cpp
+++ b/Source/Programs/Ctl/Main.cpp
@@ -1,4 +1,4 @@
-// The operators' command line.
+// wisteriactl, the command line tool of operators.
 
 #include <fstream>
 #include <iostream>
@@ -36,8 +36,8 @@
     if (options.admin.empty())
         return fail(ExitUsage, "no admin given; use --admin IP:PORT or set WISTERIA_ADMIN");
     const auto channel = grpc::CreateChannel(options.admin, credentialsFor(options.caFile));
-    // Connected first, so that an admin that can't be reached is not mistaken for one that died
-    // after it had taken the change.
+    // Connects first, so that an unreachable admin is not mistaken for one that died after it
+    // received the change.
     if (!channel->WaitForConnected(std::chrono::system_clock::now() + options.timeout)) {
         return fail(ExitUnreachable,
                     "no admin answers at " + options.admin
--- a/Tests/Programs/Bench/PlacementReplayTest.cpp
+++ b/Tests/Programs/Bench/PlacementReplayTest.cpp
@@ -34,7 +34,7 @@
     LayerMap map;
 };
 
-/// Mean skew worked out from nothing but the trace and the published maps, minute by second.
+/// Computes the mean skew from only the trace and the published maps, in ticks of 5 ms.
 double recomputeMeanSkew(const LoadTrace &trace, const std::vector<PublishedMap> &maps)
 {
     RankGroup group = trace.group;
@@ -68,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("The published maps and the trace give the reported skew")
+TEST_CASE("The reported skew equals the skew computed from the trace and the published maps")
 {
     for (const TraceKind kind : {TraceKind::DailyDrift, TraceKind::SlowRank}) {
         const LoadTrace trace = generateTrace(smallRecipe(kind));
@@ -84,25 +84,25 @@
     }
 }
 
-TEST_CASE("Staged moves never exceed the weight store's rate")
+TEST_CASE("Weights are staged no faster than the rate of the weight store")
 {
     for (const PlacementPolicy policy :
          {PlacementPolicy::Greedy, PlacementPolicy::Periodic, PlacementPolicy::CostAware}) {
         const LoadTrace trace = generateTrace(smallRecipe(TraceKind::HotExpert));
-        std::map<milliseconds, std::uint64_t> loadedBy;
+        std::map<milliseconds, std::uint64_t> copiedBytesAt;
         std::vector<LayerMap> current(trace.group.layers);
         ReplayOptions options;
         options.policy = policy;
         options.mapInForce = [&](milliseconds at, std::uint32_t layer, const LayerMap &map) {
             if (!current[layer].ranks.empty())
-                loadedBy[at] += countMoves(current[layer], map) * trace.group.expertBytes;
+                copiedBytesAt[at] += countMoves(current[layer], map) * trace.group.expertBytes;
             current[layer] = map;
         };
         REQUIRE(replayTrace(trace, options));
-        REQUIRE_FALSE(loadedBy.empty());
+        REQUIRE_FALSE(copiedBytesAt.empty());
         // The first decision is at the first report, one interval after the beginning.
         milliseconds before(60000);
-        for (const auto &[at, bytes] : loadedBy) {
+        for (const auto &[at, bytes] : copiedBytesAt) {
             const double passed = std::chrono::duration<double>(at - before).count();
             CHECK(static_cast<double>(bytes) <= passed * trace.group.storeBytesPerSecond + 1.0);
             before = at;
@@ -110,7 +110,7 @@
     }
 }
 
-TEST_CASE("A trace reads back as it was written, and the same seed gives the same trace")
+TEST_CASE("A written trace is read back unchanged, and equal seeds give equal traces")
 {
     const TraceRecipe recipe = smallRecipe(TraceKind::SlowRank);
     std::ostringstream first;
@@ -121,7 +121,7 @@
     CHECK(first.str() == second.str());
 }
 
-TEST_CASE("A wrong trace is refused with its line and a remedy")
+TEST_CASE("An invalid trace is rejected with its name and line")
 {
     const std::string header = R"({"ranks":2,"slots_per_rank":1,"layers":1,"experts":2,)"
                                R"("expert_bytes":1,"store_bytes_per_second":1,"step_ms":5,)"
--- a/Tests/Programs/Ctl/CtlSessionTest.cpp
+++ b/Tests/Programs/Ctl/CtlSessionTest.cpp
@@ -18,7 +18,7 @@
 
 const std::string folder = std::string(WISTERIA_TEST_DATA) + "/Ctl/";
 
-/// Lets several admins share one log in memory.
+/// Log client that shares one in-memory log between several clients.
 class SharedLog : public LogClient
 {
 public:
@@ -37,7 +37,7 @@
     MemoryLogClient &log_;
 };
 
-/// An admin with its control thread, called through gRPC within the process.
+/// An admin with its control thread, called by gRPC within the test process.
 class Admin
 {
 public:
@@ -84,7 +84,7 @@
 
 std::vector<std::string> wordsOf(const std::string &line)
 {
-    // A reason in quotes is one word.
+    // A quoted text, such as a reason, is one argument.
     static const std::regex word("\"([^\"]*)\"|(\\S+)");
     std::vector<std::string> words;
     for (std::sregex_iterator it(line.begin(), line.end(), word), end; it != end; ++it)
@@ -92,7 +92,8 @@
     return words;
 }
 
-/// Runs one command line and gives everything that an operator and a script see.
+/// Runs one command line.
+/// @return The command line, its output and its exit code.
 std::string run(Admin &admin, const std::string &line)
 {
     std::vector<std::string> words = wordsOf(line);
@@ -117,9 +118,9 @@
 
 } // namespace
 
-// A day of an operator: first start, a stale file, a far-reaching change, an outage, a repeat,
-// going back, the audit trail. Every answer and exit code is read here as the operator reads it.
-TEST_CASE("A whole session of an operator reads as agreed")
+// Covers the first start, a stale file, a far-reaching change, an outage, a repeat, a restore and
+// the audit trail. The whole output and every exit code are compared.
+TEST_CASE("The output and exit codes of an operator's session match the golden file")
 {
     MemoryLogClient log;
     AdminSettings settings;
@@ -141,7 +142,7 @@
     CHECK(session == textOf(folder + "answers.txt"));
 }
 
-TEST_CASE("An admin with accounts asks for a token and keeps to the account's limits")
+TEST_CASE("An admin with accounts requires a token and enforces the account's permissions")
 {
     MemoryLogClient log;
     AdminSettings settings;
--- a/Tests/Programs/LoadReportTest.cpp
+++ b/Tests/Programs/LoadReportTest.cpp
@@ -8,7 +8,7 @@
 
 using namespace wisteria;
 
-TEST_CASE("Percentiles are nearest ranks")
+TEST_CASE("Percentiles use the nearest-rank method")
 {
     std::vector<microseconds> latencies;
     for (int i = 1; i <= 200; ++i)
@@ -20,12 +20,12 @@
     CHECK(percentile({}, 0.5) == microseconds(0));
 }
 
-TEST_CASE("Every end of a request has its own name in the report")
+TEST_CASE("Each outcome of a request has its name in the report")
 {
     struct Row
     {
         long status;
-        bool whole;
+        bool complete;
         std::string body;
         std::string name;
     };
@@ -38,10 +38,10 @@
         {404, true, "plain text", "status_404"},
     };
     for (const Row &row : rows)
-        CHECK(outcomeName(row.status, row.whole, row.body) == row.name);
+        CHECK(outcomeName(row.status, row.complete, row.body) == row.name);
 }
 
-TEST_CASE("Tallies of workers add up")
+TEST_CASE("The tallies of several workers are summed")
 {
     LoadTally sum{{microseconds(5)}, {{"answer", 1}}, 0};
     addTally(sum, LoadTally{{microseconds(1)}, {{"answer", 1}, {"cut", 2}}, 1});
