--- a/Source/Programs/Agent/Main.cpp
+++ b/Source/Programs/Agent/Main.cpp
@@ -1,3 +1,5 @@
+// wisteria-agent: runs beside a backend server, admits its requests and forwards them.
+
 #include <iostream>
 
 #include <tclap/CmdLine.h>
@@ -8,12 +10,12 @@
 
 namespace {
 
-constexpr int exitBadSettings = 2;
+constexpr int exitFailure = 2;
 
 int fail(const wisteria::Error &error)
 {
     std::cerr << "wisteria-agent: " << error.message << std::endl;
-    return exitBadSettings;
+    return exitFailure;
 }
 
 } // namespace
--- a/Source/Programs/Bench/LoadWorker.cpp
+++ b/Source/Programs/Bench/LoadWorker.cpp
@@ -21,7 +21,7 @@
 constexpr auto maxWait = std::chrono::milliseconds(100);
 
 /// One connection: a curl handle and the request in progress.
-struct Slot
+struct Connection
 {
     CURL *handle = nullptr;
     curl_slist *headers = nullptr;
@@ -31,9 +31,9 @@
     std::string answer;
 };
 
-std::size_t collectAnswer(char *data, std::size_t size, std::size_t count, void *slot)
+std::size_t collectAnswer(char *data, std::size_t size, std::size_t count, void *connection)
 {
-    static_cast<Slot *>(slot)->answer.append(data, size * count);
+    static_cast<Connection *>(connection)->answer.append(data, size * count);
     return size * count;
 }
 
@@ -67,14 +67,14 @@
         curl_multi_setopt(multi_, CURLMOPT_TIMERDATA, this);
         curl_multi_setopt(multi_, CURLMOPT_MAXCONNECTS, static_cast<long>(plan_.connections));
         for (std::uint32_t i = 0; i < plan_.connections; ++i)
-            addSlot();
+            addConnection();
     }
 
     ~Private()
     {
-        for (Slot &slot : slots_) {
-            curl_easy_cleanup(slot.handle);
-            curl_slist_free_all(slot.headers);
+        for (Connection &connection : connections_) {
+            curl_easy_cleanup(connection.handle);
+            curl_slist_free_all(connection.headers);
         }
         curl_multi_cleanup(multi_);
         close(epoll_);
@@ -122,58 +122,62 @@
         return 0;
     }
 
-    void addSlot()
+    void addConnection()
     {
-        Slot &slot = slots_.emplace_back();
-        slot.handle = curl_easy_init();
-        curl_easy_setopt(slot.handle, CURLOPT_PRIVATE, &slot);
-        curl_easy_setopt(slot.handle, CURLOPT_NOSIGNAL, 1L);
-        curl_easy_setopt(slot.handle, CURLOPT_WRITEFUNCTION, collectAnswer);
-        curl_easy_setopt(slot.handle, CURLOPT_WRITEDATA, &slot);
-        curl_easy_setopt(slot.handle, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
-        curl_easy_setopt(slot.handle, CURLOPT_TIMEOUT_MS, static_cast<long>(plan_.timeout.count()));
-        setHeaders(slot, "");
-        idle_.push_back(&slot);
+        Connection &connection = connections_.emplace_back();
+        connection.handle = curl_easy_init();
+        curl_easy_setopt(connection.handle, CURLOPT_PRIVATE, &connection);
+        curl_easy_setopt(connection.handle, CURLOPT_NOSIGNAL, 1L);
+        curl_easy_setopt(connection.handle, CURLOPT_WRITEFUNCTION, collectAnswer);
+        curl_easy_setopt(connection.handle, CURLOPT_WRITEDATA, &connection);
+        curl_easy_setopt(connection.handle, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
+        curl_easy_setopt(connection.handle, CURLOPT_TIMEOUT_MS,
+                         static_cast<long>(plan_.timeout.count()));
+        setHeaders(connection, "");
+        idle_.push_back(&connection);
     }
 
-    void setHeaders(Slot &slot, const std::string &key)
+    void setHeaders(Connection &connection, const std::string &key)
     {
-        curl_slist_free_all(slot.headers);
-        slot.headers = curl_slist_append(nullptr, "Expect:");
+        curl_slist_free_all(connection.headers);
+        connection.headers = curl_slist_append(nullptr, "Expect:");
         for (const std::string &header : plan_.headers)
-            slot.headers = curl_slist_append(slot.headers, header.c_str());
+            connection.headers = curl_slist_append(connection.headers, header.c_str());
         if (!key.empty()) {
-            slot.headers = curl_slist_append(slot.headers, "Wisteria-Idempotent: false");
-            slot.headers = curl_slist_append(slot.headers, "Wisteria-Attempt: 1");
-            slot.headers = curl_slist_append(slot.headers, ("Wisteria-Key: " + key).c_str());
+            connection.headers =
+                curl_slist_append(connection.headers, "Wisteria-Idempotent: false");
+            connection.headers = curl_slist_append(connection.headers, "Wisteria-Attempt: 1");
+            connection.headers =
+                curl_slist_append(connection.headers, ("Wisteria-Key: " + key).c_str());
         }
-        curl_easy_setopt(slot.handle, CURLOPT_HTTPHEADER, slot.headers);
+        curl_easy_setopt(connection.handle, CURLOPT_HTTPHEADER, connection.headers);
     }
 
     void startDueRequests(TimePoint now)
     {
         const bool openLoop = plan_.interval.count() > 0;
         while (started_ < plan_.requests && !idle_.empty() && (!openLoop || nextDue_ <= now)) {
-            Slot &slot = *idle_.back();
+            Connection &connection = *idle_.back();
             idle_.pop_back();
-            start(slot, openLoop ? nextDue_ : now);
+            start(connection, openLoop ? nextDue_ : now);
             nextDue_ += plan_.interval;
         }
     }
 
-    void start(Slot &slot, TimePoint due)
+    void start(Connection &connection, TimePoint due)
     {
-        slot.due = due;
-        slot.mark = plan_.markPrefix + std::to_string(started_) + ".";
-        slot.body = withMark(plan_.body, slot.mark);
-        slot.answer.clear();
+        connection.due = due;
+        connection.mark = plan_.markPrefix + std::to_string(started_) + ".";
+        connection.body = withMark(plan_.body, connection.mark);
+        connection.answer.clear();
         if (plan_.keyed)
-            setHeaders(slot, makeIdempotencyKey(wallNow(), random_(), random_()));
+            setHeaders(connection, makeIdempotencyKey(wallNow(), random_(), random_()));
         const std::string &url = plan_.urls[started_ % plan_.urls.size()];
-        curl_easy_setopt(slot.handle, CURLOPT_URL, url.c_str());
-        curl_easy_setopt(slot.handle, CURLOPT_POSTFIELDSIZE, static_cast<long>(slot.body.size()));
-        curl_easy_setopt(slot.handle, CURLOPT_POSTFIELDS, slot.body.data());
-        curl_multi_add_handle(multi_, slot.handle);
+        curl_easy_setopt(connection.handle, CURLOPT_URL, url.c_str());
+        curl_easy_setopt(connection.handle, CURLOPT_POSTFIELDSIZE,
+                         static_cast<long>(connection.body.size()));
+        curl_easy_setopt(connection.handle, CURLOPT_POSTFIELDS, connection.body.data());
+        curl_multi_add_handle(multi_, connection.handle);
         ++started_;
     }
 
@@ -212,31 +216,31 @@
     {
         int left = 0;
         while (const CURLMsg *message = curl_multi_info_read(multi_, &left)) {
-            char *slotPointer = nullptr;
+            char *connectionPointer = nullptr;
             CURL *handle = message->easy_handle;
             const CURLcode code = message->data.result;
-            curl_easy_getinfo(handle, CURLINFO_PRIVATE, &slotPointer);
+            curl_easy_getinfo(handle, CURLINFO_PRIVATE, &connectionPointer);
             curl_multi_remove_handle(multi_, handle);
-            Slot &slot = *reinterpret_cast<Slot *>(slotPointer);
-            count(slot, code, now);
-            idle_.push_back(&slot);
+            Connection &connection = *reinterpret_cast<Connection *>(connectionPointer);
+            count(connection, code, now);
+            idle_.push_back(&connection);
             ++ended_;
         }
     }
 
-    void count(const Slot &slot, CURLcode code, TimePoint now)
+    void count(const Connection &connection, CURLcode code, TimePoint now)
     {
         long status = 0;
-        curl_easy_getinfo(slot.handle, CURLINFO_RESPONSE_CODE, &status);
+        curl_easy_getinfo(connection.handle, CURLINFO_RESPONSE_CODE, &status);
         const std::string name = code == CURLE_OPERATION_TIMEDOUT
             ? "timeout"
-            : outcomeName(status, code == CURLE_OK, slot.answer);
+            : outcomeName(status, code == CURLE_OK, connection.answer);
         ++tally_.outcomes[name];
         if (name != "answer")
             return;
-        tally_.latencies.push_back(std::chrono::duration_cast<microseconds>(now - slot.due));
+        tally_.latencies.push_back(std::chrono::duration_cast<microseconds>(now - connection.due));
         const bool marked = plan_.body.find('%') != std::string::npos;
-        if (marked && slot.answer.find(slot.mark) == std::string::npos)
+        if (marked && connection.answer.find(connection.mark) == std::string::npos)
             ++tally_.crossed;
     }
 
@@ -244,8 +248,8 @@
     const int epoll_;
     CURLM *const multi_;
     std::mt19937_64 random_;
-    std::list<Slot> slots_;
-    std::vector<Slot *> idle_;
+    std::list<Connection> connections_;
+    std::vector<Connection *> idle_;
     std::optional<TimePoint> timer_;
     TimePoint nextDue_;
     std::uint64_t started_ = 0;
--- a/Source/Programs/Bench/PlacementReplay.cpp
+++ b/Source/Programs/Bench/PlacementReplay.cpp
@@ -74,14 +74,15 @@
     Result<void> decide(milliseconds now);
     Result<void> stage(milliseconds now, PlacementDecision decision);
     void remeasure(std::uint32_t layer, milliseconds now);
-    void publish(milliseconds now, std::uint32_t layer);
+    void reportMapInForce(milliseconds now, std::uint32_t layer);
     ReplayResult result();
     microseconds decidePercentile(double fraction);
 
     const LoadTrace &trace_;
     const ReplayOptions &options_;
-    /// The group with its actual rank speeds, and with those reported so far.
+    /// The group with its actual rank speeds.
     RankGroup group_;
+    /// The group with the rank speeds reported so far.
     RankGroup knownGroup_;
     milliseconds begin_;
     milliseconds end_;
@@ -144,7 +145,7 @@
     skew_.set(layer, now, layerSkew(group_, state_.layers[layer].map, loads_[layer]));
 }
 
-void Replay::publish(milliseconds now, std::uint32_t layer)
+void Replay::reportMapInForce(milliseconds now, std::uint32_t layer)
 {
     if (options_.mapInForce)
         options_.mapInForce(now, layer, state_.layers[layer].map);
@@ -158,7 +159,7 @@
         if (!layer.next)
             continue;
         remeasure(layer.layer, now);
-        publish(now, layer.layer);
+        reportMapInForce(now, layer.layer);
     }
     pending_.reset();
 }
@@ -245,7 +246,7 @@
     BOOST_OUTCOME_TRY(started, initialPlacement(group_, initial));
     state_ = std::move(started);
     for (std::uint32_t layer = 0; layer < group_.layers; ++layer)
-        publish(begin_, layer);
+        reportMapInForce(begin_, layer);
     scheduleReports();
     for (auto now = nextTime(); now && *now <= end_; now = nextTime()) {
         if (pending_ && pending_->at == *now)
--- a/Source/Programs/Bench/PlacementReplay.h
+++ b/Source/Programs/Bench/PlacementReplay.h
@@ -24,7 +24,8 @@
     std::function<void(milliseconds at, std::uint32_t layer, const LayerMap &map)> mapInForce;
 };
 
-/// Mean skew over all layers in one part of the trace.
+/// Mean skew over all layers in one part of the trace. A period of constant skew counts fully in
+/// the part in which it begins.
 struct SkewSample
 {
     milliseconds at{0};
@@ -37,10 +38,10 @@
     double meanSkew = 1;
     double p99Skew = 1;
     double lowerBoundMeanSkew = 1;
-    /// Mean skew of the best maps found for the noise-free loads, in force immediately and
-    /// without cost; absent when not requested or when the trace lacks those loads.
+    /// Mean skew, under the actual loads, of the best maps found for the noise-free loads, in force
+    /// immediately and without cost; absent when not requested or when the trace lacks those loads.
     std::optional<double> noiseFreeFloorMeanSkew;
-    /// The same for the actual loads, that is, with the noise known in advance.
+    /// The same for the best maps found for the actual loads, with the noise known in advance.
     std::optional<double> bestFoundMeanSkew;
     std::uint64_t moves = 0;
     std::uint64_t movedBytes = 0;
--- a/Source/Programs/Bench/TraceGenerator.h
+++ b/Source/Programs/Bench/TraceGenerator.h
@@ -8,12 +8,12 @@
 
 namespace wisteria {
 
-/// How the loads change over a trace.
+/// How the loads change over a trace. All kinds have noise and a daily cycle of the volume.
 enum class TraceKind {
     DailyDrift, ///< Each expert's popularity follows a daily cycle with a random phase.
     HotExpert, ///< One cold expert of each layer is hot in the middle third of the trace.
-    CatalogueChange, ///< Half of the experts swap popularities in the middle of the trace.
-    Noise, ///< Constant popularity with noise.
+    CatalogueChange, ///< Half of the experts exchange popularities in the middle of the trace.
+    Noise, ///< Constant popularity.
     SlowRank, ///< One rank is slow after the first third of the trace.
 };
 
--- a/Source/Programs/Ctl/CtlCommands.cpp
+++ b/Source/Programs/Ctl/CtlCommands.cpp
@@ -15,9 +15,10 @@
 
 namespace {
 
-/// Time that a call may take beyond the timeout that the admin gets with the request.
+/// Added to the admin's timeout to get the deadline of the call.
 constexpr milliseconds callGrace(5000);
 
+/// Options, admin stub, output streams and token of one command.
 struct Session
 {
     const Options &options;
@@ -61,7 +62,7 @@
     return ExitUsage;
 }
 
-ExitCode reportMissingArgument(const Session &session, const char *what)
+ExitCode reportWrongArguments(const Session &session, const char *what)
 {
     return reportUsageError(
         session.err, session.options.command + " needs " + what + "; see 'wisteriactl --help'");
@@ -225,7 +226,7 @@
                   const std::function<ExitCode(const Session &, const v1::ChangeRecord &)> &action)
 {
     if (session.options.arguments.size() != 1)
-        return reportMissingArgument(session, "one file");
+        return reportWrongArguments(session, "one file");
     const std::string &path = session.options.arguments.front();
     const auto text = readText(path);
     if (!text)
@@ -263,7 +264,7 @@
     if (!arguments.empty()) {
         const auto named = kindFromName(arguments[0]);
         if (!named)
-            return reportMissingArgument(session, "a known kind");
+            return reportWrongArguments(session, "a known kind");
         kind = *named;
     }
     grpc::Status status;
@@ -287,7 +288,7 @@
     const auto &arguments = session.options.arguments;
     const auto kind = arguments.size() == 2 ? kindFromName(arguments[0]) : std::nullopt;
     if (!kind)
-        return reportMissingArgument(session, "a kind and a name");
+        return reportWrongArguments(session, "a kind and a name");
     grpc::Status status;
     const auto current = list(session, *kind, 0, status);
     if (!current)
@@ -301,7 +302,7 @@
 ExitCode setDraining(const Session &session, bool draining)
 {
     if (session.options.arguments.size() != 1)
-        return reportMissingArgument(session, "the name of one backend server");
+        return reportWrongArguments(session, "the name of one backend server");
     v1::DrainRequest request;
     request.set_backend_server(session.options.arguments.front());
     request.set_draining(draining);
@@ -335,7 +336,7 @@
 {
     const auto version = versionArgument(session);
     if (!version || *version == 0)
-        return reportMissingArgument(session, "the number of a version");
+        return reportWrongArguments(session, "the number of a version");
     grpc::Status status;
     const auto current = list(session, v1::OBJECT_KIND_UNSPECIFIED, 0, status);
     if (!current)
@@ -356,7 +357,7 @@
 ExitCode runOutcome(const Session &session)
 {
     if (session.options.arguments.size() != 1)
-        return reportMissingArgument(session, "a change id");
+        return reportWrongArguments(session, "a change id");
     v1::OutcomeRequest request;
     request.set_change_id(session.options.arguments.front());
     request.set_cancel(session.options.cancel);
@@ -376,7 +377,7 @@
     if (version)
         return watchVersion(session, *version);
     if (!session.options.arguments.empty())
-        return reportMissingArgument(session, "the number of a version");
+        return reportWrongArguments(session, "the number of a version");
     grpc::Status status;
     const auto current = list(session, v1::OBJECT_KIND_UNSPECIFIED, 0, status);
     if (!current)
@@ -403,7 +404,7 @@
     if (!arguments.empty()) {
         const auto kind = kindFromName(arguments[0]);
         if (!kind)
-            return reportMissingArgument(session, "a known kind");
+            return reportWrongArguments(session, "a known kind");
         request.set_kind(*kind);
     }
     if (arguments.size() > 1)
--- a/Source/Programs/Ctl/CtlOptions.h
+++ b/Source/Programs/Ctl/CtlOptions.h
@@ -15,8 +15,8 @@
     ExitUsage = 1, ///< Wrong command line or file; nothing was sent.
     ExitRefused = 2, ///< Refused; nothing changed.
     ExitNotYetKnown = 3, ///< The change may still be accepted; query it with `outcome`.
-    ExitUnreachable = 4, ///< No admin answers; nothing was sent.
-    ExitNotEverywhere = 5, ///< Some process lags, is silent, or the log can't be followed.
+    ExitUnreachable = 4, ///< No answer. No change was sent; a cancel may have taken effect.
+    ExitNotEverywhere = 5, ///< A process lags or is silent, or the log can't be read or followed.
     ExitNeedsConfirmation = 6, ///< Held back until confirmed by the digest that was printed.
 };
 
--- a/Source/Programs/Ctl/CtlOutput.h
+++ b/Source/Programs/Ctl/CtlOutput.h
@@ -19,7 +19,8 @@
 ExitCode printDryRun(const v1::DryRunReply &reply, bool json, std::ostream &out);
 
 /// Prints the state of all processes as a table.
-/// @return ExitNotEverywhere when a process lags or is silent, or the log can't be followed.
+/// @return ExitNotEverywhere when a process lags or is silent, or the log is unreachable or
+/// can't be followed.
 ExitCode printStatus(const v1::StatusReply &reply, bool json, std::ostream &out);
 
 /// Prints the audit trail, newest change last.
--- a/Source/Programs/Entry/Main.cpp
+++ b/Source/Programs/Entry/Main.cpp
@@ -1,3 +1,5 @@
+// wisteria-entry: receives requests of callers and forwards them to backend servers.
+
 #include <iostream>
 
 #include <tclap/CmdLine.h>
@@ -8,12 +10,12 @@
 
 namespace {
 
-constexpr int exitBadSettings = 2;
+constexpr int exitFailure = 2;
 
 int fail(const wisteria::Error &error)
 {
     std::cerr << "wisteria-entry: " << error.message << std::endl;
-    return exitBadSettings;
+    return exitFailure;
 }
 
 } // namespace
--- a/Tests/Programs/Bench/PlacementReplayTest.cpp
+++ b/Tests/Programs/Bench/PlacementReplayTest.cpp
@@ -110,7 +110,7 @@
     }
 }
 
-TEST_CASE("A written trace is read back unchanged, and equal seeds give equal traces")
+TEST_CASE("A written trace is read back unchanged")
 {
     const TraceRecipe recipe = smallRecipe(TraceKind::SlowRank);
     std::ostringstream first;
--- a/Tests/Sessions/LeavingSessionTest.cpp
+++ b/Tests/Sessions/DrainingSessionTest.cpp
@@ -17,7 +17,7 @@
     return static_cast<int>(std::count(answer.body.begin(), answer.body.end(), '\n'));
 }
 
-/// Index of the backend server that answered.
+/// Index of the backend server that answered; an index of no server when none did.
 std::size_t answeringBackend(const HttpAnswer &answer)
 {
     const std::string name = answer.json().value("backend_server", "quoter-0");
@@ -43,8 +43,8 @@
     CHECK(system.entry(0).waitForExit() == 0);
 }
 
-// A planned replacement of a backend server's VM, while the platform's list of VMs lags by 30 s.
-// Entries must learn from the agent that it drains.
+// A planned replacement of a backend server's VM. The platform's list of VMs, which lags by 30 s,
+// never shows that the VM leaves, so entries must learn from the agent that it drains.
 TEST_CASE("SIGTERM to an agent cuts off no request, and its backend server gets no new ones")
 {
     TestSystem system({.entries = 2, .backendServers = 3, .vmLag = milliseconds(30000)});
--- a/Tests/Sessions/FaultProxy.h
+++ b/Tests/Sessions/FaultProxy.h
@@ -20,7 +20,8 @@
     /// Closes all connections. New connections are forwarded.
     void cut();
 
-    /// Stops or resumes forwarding on all connections, like a network that drops every packet.
+    /// Stops or resumes forwarding of data on all connections, like a network that drops every
+    /// packet. New connections are still accepted.
     void stall(bool stalled);
 
 private:
--- a/Tests/Sessions/FaultSessionTest.cpp
+++ b/Tests/Sessions/FaultSessionTest.cpp
@@ -11,7 +11,7 @@
 
 const std::string heldBody = R"({"hold":"gate","tag":"held"})";
 constexpr milliseconds shortDeadline(2000);
-/// Time that an answer may arrive after the deadline on a busy machine.
+/// How long after its deadline an answer may arrive on a busy machine.
 constexpr milliseconds deadlineTolerance(1500);
 
 std::string outcomeOf(const HttpAnswer &answer)
@@ -19,8 +19,7 @@
     return answer.status == 200 ? "answer" : answer.json().value("outcome", "none");
 }
 
-/// Repeats a keyed request until it is answered with 200 or 4 s have passed. No repeat may run the
-/// request again.
+/// Repeats a keyed request until it is answered with 200 or 4 s have passed.
 /// @return The last answer.
 HttpAnswer repeatUntilAnswered(const TestSystem &system, std::size_t entry, TestRequest request)
 {
@@ -68,6 +67,7 @@
         CHECK(outcomeOf(answer) != "answer");
         CHECK(outcomeOf(answer) != "not_run");
     }
+    // The restarted backend server counts from 0, so any run would be a second one.
     CHECK(system.runs("keys", request.key) == 0);
 }
 
@@ -114,10 +114,10 @@
     CHECK(system.runs("keys", request.key) == 1);
 }
 
-// A VM stalls: its agent is stopped (SIGSTOP) with a request in flight. The caller must be refused
-// by its deadline with outcome "unknown", and other callers must get their own answers. After the
-// agent resumes, its late answer must reach no other caller, and no repeat may be reported as not
-// run.
+// A VM stalls: its agent is stopped (SIGSTOP) with a request in flight. The caller must get
+// an error with outcome "unknown" by its deadline, and other callers must get their own answers.
+// After the agent resumes, its late answer must reach no other caller, and no repeat may be
+// reported as not run.
 TEST_CASE("A stalled agent makes its own request end as unknown and affects no other request")
 {
     TestSystem system({.entries = 2, .backendServers = 3});
--- a/Tests/Sessions/StormSessionTest.cpp
+++ b/Tests/Sessions/StormSessionTest.cpp
@@ -38,7 +38,7 @@
 /// fixed points of the load.
 void waitForRuns(const TestSystem &system, double runs)
 {
-    // The metrics of entries have labels, so the runs of the backend servers are summed instead.
+    // metric() can't read the entries' counters, which have labels, so runs are summed instead.
     eventually([&] { return system.totalRuns() >= runs; }, seconds(30));
 }
 
@@ -84,11 +84,11 @@
 
 // A poison request crashes each backend server that runs it, and its caller repeats it endlessly
 // through both entries. Without quarantine it would crash all backend servers one by one.
-TEST_CASE("A poison request crashes at most three backend servers")
+TEST_CASE("A poison request causes at most three crashes, and other requests are answered")
 {
     TestSystem system({.entries = 2, .backendServers = 16});
-    int deaths = 0;
-    int refused = 0;
+    int crashes = 0;
+    int failed = 0;
     int otherRequests = 0;
     for (int round = 0; round < 60; ++round) {
         system.send(static_cast<std::size_t>(round % 2),
@@ -96,16 +96,16 @@
         for (std::size_t i = 0; i < 16; ++i) {
             if (!system.backend(i).hasEnded())
                 continue;
-            ++deaths;
+            ++crashes;
             system.restartBackend(i);
         }
         for (std::size_t entry = 0; entry < 2; ++entry) {
             ++otherRequests;
-            refused += system.send(entry, {.body = "innocent"}).status == 200 ? 0 : 1;
+            failed += system.send(entry, {.body = "innocent"}).status == 200 ? 0 : 1;
         }
     }
-    INFO(deaths << " deaths, " << refused << " of " << otherRequests << " other requests refused");
-    CHECK(deaths >= 1);
-    CHECK(deaths <= 3);
-    CHECK(refused * 100 < otherRequests);
+    INFO(crashes << " crashes, " << failed << " of " << otherRequests << " other requests failed");
+    CHECK(crashes >= 1);
+    CHECK(crashes <= 3);
+    CHECK(failed * 100 < otherRequests);
 }
--- a/Tests/Sessions/TestSystem.h
+++ b/Tests/Sessions/TestSystem.h
@@ -67,10 +67,11 @@
     /// Kills the process and starts it again at the same address.
     void restartBackend(std::size_t i);
     void restartAgent(std::size_t i);
+    /// Starts an additional entry.
     void startEntry();
 
-    /// Waits until all backend servers accept new idempotency keys. After its start, a backend
-    /// server refuses the new keys that it owns for the first seconds.
+    /// Waits until new idempotency keys are accepted. Each key is owned by one backend server,
+    /// whose agent refuses new keys for the first seconds after its start.
     void waitUntilKeysAccepted() const;
 
     /// How often a request ran, summed over all backend servers that answer.
@@ -87,7 +88,8 @@
     /// @return Its index.
     /// @throw std::runtime_error when none does in time.
     std::size_t waitForHeldRequest() const;
-    /// Completes every request that is held under this name.
+    /// Completes every request that is held under this name. Later requests of this name are not
+    /// held.
     void release(const std::string &name) const;
 
     /// Appends a configuration change to the log.
--- a/Tests/StandIns/BackendServer.cpp
+++ b/Tests/StandIns/BackendServer.cpp
@@ -3,8 +3,9 @@
 // runs at most once.
 //
 // Options: "tag" (runs are counted per tag), "stream" (number of chunks), "chunk_ms" (delay between
-// chunks), "cut_after" (number of chunks), "hold" (name; waits until POST /release with that name),
-// "stall_ms" (delay before the answer), "ask_status" (status of the answer), "crash".
+// chunks), "cut_after" (number of chunks), "hold" (name; waits for POST /release with that name, at
+// most 60 s; a stream waits after its first chunk), "stall_ms" (delay before the answer),
+// "ask_status" (status of the answer), "crash".
 
 #include <condition_variable>
 #include <cstdlib>
@@ -41,25 +42,25 @@
 public:
     explicit BackendServer(std::string name) : name_(std::move(name)) { }
 
-    Reply handle(const Exchange &exchange)
+    Reply handle(const Request &request)
     {
-        if (exchange.path() == "/health")
+        if (request.path() == "/health")
             return Reply{.body = R"({"state":"live"})"};
-        if (exchange.path() == "/runs")
+        if (request.path() == "/runs")
             return runCounts();
-        if (exchange.path() == "/release")
-            return release(exchange.body());
-        const auto service = exchange.pathBetween("/v1/services/", "/requests");
-        if (!service || exchange.method() != "POST")
+        if (request.path() == "/release")
+            return release(request.body());
+        const auto service = request.pathBetween("/v1/services/", "/requests");
+        if (!service || request.method() != "POST")
             return notFound();
-        return run(*service, exchange);
+        return run(*service, request);
     }
 
 private:
-    Reply run(const std::string &service, const Exchange &exchange)
+    Reply run(const std::string &service, const Request &request)
     {
-        const json options = parseOptions(exchange.body());
-        const std::string key = exchange.header("Wisteria-Key");
+        const json options = parseOptions(request.body());
+        const std::string key = request.header("Wisteria-Key");
         const unsigned long count = countRun(key, options);
         if (options.value("crash", false))
             std::_Exit(crashExitCode);
@@ -67,11 +68,11 @@
         const json echo = {
             {"backend_server", name_},
             {"service", service},
-            {"request_id", exchange.header("Wisteria-Request-Id")},
+            {"request_id", request.header("Wisteria-Request-Id")},
             {"key", key},
             {"run", count},
-            {"body_hash", XXH3_64bits(exchange.body().data(), exchange.body().size())},
-            {"echo", exchange.body().substr(0, maxEchoBytes)},
+            {"body_hash", XXH3_64bits(request.body().data(), request.body().size())},
+            {"echo", request.body().substr(0, maxEchoBytes)},
         };
         if (options.contains("stream"))
             return streamReply(echo, options);
@@ -166,5 +167,5 @@
     command.parse(argc, argv);
     wisteria::standin::BackendServer server(name.getValue());
     return wisteria::standin::serve(port.getValue(),
-                                    [&](const auto &exchange) { return server.handle(exchange); });
+                                    [&](const auto &request) { return server.handle(request); });
 }
--- a/Tests/StandIns/HttpStandIn.cpp
+++ b/Tests/StandIns/HttpStandIn.cpp
@@ -91,8 +91,8 @@
         *size = 0;
         return MHD_YES;
     }
-    const Exchange exchange(connection, method, path, std::move(upload->body));
-    return sendReply(connection, (*static_cast<const Handler *>(handler))(exchange));
+    const Request request(connection, method, path, std::move(upload->body));
+    return sendReply(connection, (*static_cast<const Handler *>(handler))(request));
 }
 
 void onCompleted(void *, MHD_Connection *, void **state, MHD_RequestTerminationCode)
@@ -122,26 +122,25 @@
 
 } // namespace
 
-Exchange::Exchange(MHD_Connection *connection, std::string method, std::string path,
-                   std::string body)
+Request::Request(MHD_Connection *connection, std::string method, std::string path, std::string body)
     : connection_(connection), method_(std::move(method)), path_(std::move(path)),
       body_(std::move(body))
 { }
 
-std::string Exchange::header(const char *name) const
+std::string Request::header(const char *name) const
 {
     const char *value = MHD_lookup_connection_value(connection_, MHD_HEADER_KIND, name);
     return value ? value : "";
 }
 
-unsigned long Exchange::queryNumber(const char *name, unsigned long fallback) const
+unsigned long Request::queryNumber(const char *name, unsigned long fallback) const
 {
     const char *value = MHD_lookup_connection_value(connection_, MHD_GET_ARGUMENT_KIND, name);
     return value ? std::strtoul(value, nullptr, 10) : fallback;
 }
 
-std::optional<std::string> Exchange::pathBetween(const std::string &prefix,
-                                                 const std::string &suffix) const
+std::optional<std::string> Request::pathBetween(const std::string &prefix,
+                                                const std::string &suffix) const
 {
     if (path_.size() <= prefix.size() + suffix.size() || !path_.starts_with(prefix)
         || !path_.ends_with(suffix))
--- a/Tests/StandIns/HttpStandIn.h
+++ b/Tests/StandIns/HttpStandIn.h
@@ -11,10 +11,10 @@
 namespace wisteria::standin {
 
 /// An HTTP request with its complete body.
-class Exchange
+class Request
 {
 public:
-    Exchange(MHD_Connection *connection, std::string method, std::string path, std::string body);
+    Request(MHD_Connection *connection, std::string method, std::string path, std::string body);
 
     const std::string &method() const { return method_; }
     const std::string &path() const { return path_; }
@@ -59,7 +59,7 @@
 /// Answer with status 404 for an unknown path.
 Reply notFound();
 
-using Handler = std::function<Reply(const Exchange &)>;
+using Handler = std::function<Reply(const Request &)>;
 
 /// Serves on 127.0.0.1 with a thread for each connection, so that a handler may block. Prints
 /// "ready address=127.0.0.1:PORT". SIGTERM or SIGINT ends the process.
--- a/Tests/StandIns/LogService.cpp
+++ b/Tests/StandIns/LogService.cpp
@@ -34,12 +34,12 @@
     return text;
 }
 
-/// Injected faults; "ok" means none.
+/// Injected faults: "ok" (none), "down" or "slow"; for appends also "lose_answer".
 struct Faults
 {
     std::string append = "ok";
     std::string read = "ok";
-    milliseconds slow = milliseconds(0);
+    milliseconds slowDelay = milliseconds(0);
 };
 
 /// Records of one stream. Offsets start at 1; `first` is the oldest retained offset.
@@ -64,20 +64,20 @@
 public:
     explicit LogService(unsigned long retain) : retain_(retain) { }
 
-    Reply handle(const Exchange &exchange)
+    Reply handle(const Request &request)
     {
-        if (exchange.path() == "/faults")
-            return setFaults(exchange);
-        if (exchange.path() == "/stats")
+        if (request.path() == "/faults")
+            return setFaults(request);
+        if (request.path() == "/stats")
             return stats();
-        const auto stream = exchange.pathBetween("/streams/", "/records");
+        const auto stream = request.pathBetween("/streams/", "/records");
         if (!stream)
             return notFound();
-        if (exchange.method() == "POST")
-            return append(*stream, exchange.body());
-        if (exchange.method() == "DELETE")
-            return drop(*stream, exchange.queryNumber("before", 0));
-        return read(*stream, exchange);
+        if (request.method() == "POST")
+            return append(*stream, request.body());
+        if (request.method() == "DELETE")
+            return drop(*stream, request.queryNumber("before", 0));
+        return read(*stream, request);
     }
 
 private:
@@ -89,15 +89,15 @@
         return reply;
     }
 
-    Reply setFaults(const Exchange &exchange)
+    Reply setFaults(const Request &request)
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        const auto requested = nlohmann::json::parse(exchange.body(), nullptr, false);
+        const auto requested = nlohmann::json::parse(request.body(), nullptr, false);
         if (!requested.is_object())
             return notFound();
         faults_.append = requested.value("append", faults_.append);
         faults_.read = requested.value("read", faults_.read);
-        faults_.slow = milliseconds(requested.value("slow_ms", faults_.slow.count()));
+        faults_.slowDelay = milliseconds(requested.value("slow_ms", faults_.slowDelay.count()));
         changed_.notify_all();
         return Reply{.body = "{}"};
     }
@@ -115,7 +115,7 @@
         if (faults.append == "down")
             return unavailable();
         if (faults.append == "slow")
-            sleepFor(faults.slow);
+            sleepFor(faults.slowDelay);
         const std::lock_guard<std::mutex> lock(mutex_);
         RecordStream &stream = streams_[name];
         const unsigned long offset = stream.end();
@@ -136,14 +136,14 @@
         return Reply{.body = "{}"};
     }
 
-    Reply read(const std::string &name, const Exchange &exchange)
+    Reply read(const std::string &name, const Request &request)
     {
-        const unsigned long from = std::max(1UL, exchange.queryNumber("from", 1));
-        const unsigned long max = exchange.queryNumber("max", defaultBatchRecords);
-        const milliseconds wait(exchange.queryNumber("wait_ms", 0));
+        const unsigned long from = std::max(1UL, request.queryNumber("from", 1));
+        const unsigned long max = request.queryNumber("max", defaultBatchRecords);
+        const milliseconds wait(request.queryNumber("wait_ms", 0));
         const Faults faults = currentFaults();
         if (faults.read == "slow")
-            sleepFor(faults.slow);
+            sleepFor(faults.slowDelay);
         std::unique_lock<std::mutex> lock(mutex_);
         changed_.wait_for(lock, wait,
                           [&] { return faults_.read == "down" || streams_[name].end() > from; });
@@ -198,5 +198,5 @@
     command.parse(argc, argv);
     wisteria::standin::LogService service(retain.getValue());
     return wisteria::standin::serve(port.getValue(),
-                                    [&](const auto &exchange) { return service.handle(exchange); });
+                                    [&](const auto &request) { return service.handle(request); });
 }
--- a/Tests/StandIns/VmList.cpp
+++ b/Tests/StandIns/VmList.cpp
@@ -21,17 +21,17 @@
     explicit VmList(std::chrono::milliseconds lag) : lag_(lag) { }
 
     /// GET /vms reads the list, PUT /vms replaces it, PUT /vms/NAME sets the state of one VM.
-    Reply handle(const Exchange &exchange)
+    Reply handle(const Request &request)
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        if (exchange.path() == "/vms" && exchange.method() == "GET")
+        if (request.path() == "/vms" && request.method() == "GET")
             return Reply{.body = json({{"vms", visibleVms()}}).dump()};
-        const json body = json::parse(exchange.body(), nullptr, false);
-        if (exchange.method() != "PUT" || !body.is_object())
+        const json body = json::parse(request.body(), nullptr, false);
+        if (request.method() != "PUT" || !body.is_object())
             return notFound();
-        if (exchange.path() == "/vms")
+        if (request.path() == "/vms")
             addRevision(body.value("vms", json::array()));
-        else if (const auto name = exchange.pathBetween("/vms/", ""))
+        else if (const auto name = request.pathBetween("/vms/", ""))
             addRevision(withState(*name, body.value("state", "live")));
         return Reply{.body = "{}"};
     }
@@ -85,5 +85,5 @@
     command.parse(argc, argv);
     wisteria::standin::VmList list(std::chrono::milliseconds(lag.getValue()));
     return wisteria::standin::serve(port.getValue(),
-                                    [&](const auto &exchange) { return list.handle(exchange); });
+                                    [&](const auto &request) { return list.handle(request); });
 }
