--- a/Source/Connection/BackendClient.cpp
+++ b/Source/Connection/BackendClient.cpp
@@ -63,23 +63,23 @@
         curl_multi_cleanup(multi_);
     }
 
-    CallId start(BackendCall wanted, std::shared_ptr<BackendCallHandler> handler)
+    CallId start(BackendCall request, std::shared_ptr<BackendCallHandler> handler)
     {
-        auto call = newCall(url_ + "/v1/services/" + wanted.service + "/requests", wanted.deadline,
-                            std::move(handler));
+        auto call = newCall(url_ + "/v1/services/" + request.service + "/requests",
+                            request.deadline, std::move(handler));
         addHeader(*call, "Content-Type: application/octet-stream");
         addHeader(*call, "Expect:");
-        addHeader(*call, "Wisteria-Request-Id: " + wanted.requestId);
-        addHeader(*call, "Wisteria-Priority: " + std::to_string(wanted.priority));
-        addHeader(*call, "Wisteria-Deadline-Ms: " + std::to_string(wanted.deadline.count()));
-        if (!wanted.key.empty()) {
-            addHeader(*call, "Wisteria-Key: " + wanted.key);
-            // libcurl silently sends a request again when a reused connection closes without an
-            // answer, and the backend server may have run the first one: an order line would stand
-            // twice. It never does so on a fresh connection.
+        addHeader(*call, "Wisteria-Request-Id: " + request.requestId);
+        addHeader(*call, "Wisteria-Priority: " + std::to_string(request.priority));
+        addHeader(*call, "Wisteria-Deadline-Ms: " + std::to_string(request.deadline.count()));
+        if (!request.key.empty()) {
+            addHeader(*call, "Wisteria-Key: " + request.key);
+            // libcurl silently resends a request when a reused connection closes without an
+            // answer. The backend server may have run the first one, so a request that is not
+            // idempotent would run twice. libcurl never resends on a fresh connection.
             curl_easy_setopt(call->easy, CURLOPT_FRESH_CONNECT, 1L);
         }
-        call->body = std::move(wanted.body);
+        call->body = std::move(request.body);
         curl_easy_setopt(call->easy, CURLOPT_HTTPHEADER, call->headers);
         curl_easy_setopt(call->easy, CURLOPT_POST, 1L);
         curl_easy_setopt(call->easy, CURLOPT_POSTFIELDSIZE_LARGE,
@@ -99,7 +99,7 @@
         if (found == calls_.end())
             return;
         found->second->handler = nullptr;
-        // A callback of this very call may be running, so libcurl may not be re-entered here.
+        // libcurl must not be re-entered: it may be running a callback of this call.
         loop_.defer([this, alive = alive_, id] {
             if (*alive)
                 remove(id);
@@ -178,12 +178,12 @@
         if (call->paused)
             return CURL_WRITEFUNC_PAUSE;
         const auto handler = call->handler;
-        announce(*call);
+        reportStart(*call);
         handler->answerBytes({bytes, length});
         return length;
     }
 
-    static void announce(Call &call)
+    static void reportStart(Call &call)
     {
         if (std::exchange(call.started, true) || !call.handler)
             return;
@@ -202,8 +202,9 @@
         }
         const Interest interest{.read = (what & CURL_POLL_IN) != 0,
                                 .write = (what & CURL_POLL_OUT) != 0};
-        client->loop_.watch(socket, interest,
-                            [client, socket](Interest ready) { client->act(socket, ready); });
+        client->loop_.watch(socket, interest, [client, socket](Interest ready) {
+            client->processSocket(socket, ready);
+        });
         return 0;
     }
 
@@ -216,12 +217,12 @@
             return 0;
         client->timer_ = client->loop_.runAfter(milliseconds(timeoutMs), [client] {
             client->timer_ = 0;
-            client->act(CURL_SOCKET_TIMEOUT, {});
+            client->processSocket(CURL_SOCKET_TIMEOUT, {});
         });
         return 0;
     }
 
-    void act(curl_socket_t socket, Interest ready)
+    void processSocket(curl_socket_t socket, Interest ready)
     {
         int events = 0;
         if (ready.read)
@@ -250,16 +251,16 @@
         const CallId id = ended.id;
         const BackendCallEnd result = classify(ended, code);
         if (result == BackendCallEnd::Complete)
-            announce(ended);
+            reportStart(ended);
         const auto handler = std::exchange(ended.handler, nullptr);
         remove(id);
         if (handler)
             handler->answerEnded(result);
     }
 
-    /// A call counts as not run only when no byte of it was ever sent. The kind of the error does
-    /// not tell: a request that killed the backend server on a reused connection is tried again by
-    /// libcurl and then ends with "could not connect".
+    /// A call counts as not run only when no byte of it was sent. The error code doesn't prove
+    /// that: when a request crashes the backend server on a reused connection, libcurl resends it,
+    /// and the call ends with "could not connect".
     static BackendCallEnd classify(const Call &call, CURLcode code)
     {
         if (code == CURLE_OK)
@@ -270,7 +271,7 @@
             return BackendCallEnd::NotConnected;
         if (code == CURLE_OPERATION_TIMEDOUT)
             return BackendCallEnd::TimedOut;
-        return BackendCallEnd::Cut;
+        return BackendCallEnd::ConnectionLost;
     }
 
     EventLoop &loop_;
--- a/Source/Connection/BackendClient.h
+++ b/Source/Connection/BackendClient.h
@@ -10,7 +10,7 @@
 
 namespace wisteria {
 
-/// One call of the backend server.
+/// One request to the backend server.
 struct BackendCall
 {
     std::string service;
@@ -19,17 +19,17 @@
     /// Idempotency key, or empty.
     std::string key;
     std::uint32_t priority = 0;
-    /// Time after which the answer is of no use.
+    /// Time that the call may take; the caller has no use for a later answer.
     milliseconds deadline{0};
     std::string body;
 };
 
-/// How a call of the backend server ended.
+/// How a call ended.
 enum class BackendCallEnd {
-    Complete, ///< The whole answer came.
-    NotConnected, ///< No connection could be made: the call was surely not run.
-    Cut, ///< The connection was lost after the call was sent: it may have run.
-    TimedOut, ///< The deadline passed after the call was sent: it may have run.
+    Complete, ///< The complete answer was received.
+    NotConnected, ///< No byte of the request was sent: it was not run.
+    ConnectionLost, ///< The connection was lost after the request was sent: it may have run.
+    TimedOut, ///< The deadline passed after the request was sent: it may have run.
 };
 
 /// Receives the answer of one call.
@@ -40,18 +40,18 @@
 
     virtual void answerStarted(std::uint32_t httpStatus, const std::string &contentType) = 0;
     virtual void answerBytes(std::string_view bytes) = 0;
-    /// Called once, last.
+    /// Called once, as the last callback. Not called after cancel().
     virtual void answerEnded(BackendCallEnd end) = 0;
 };
 
-/// Calls the backend server beside this process over HTTP/1.1 (libcurl). Belongs to its loop's
-/// thread.
+/// Calls the backend server on the same VM over HTTP/1.1 (libcurl). Must be used on its loop's
+/// thread only.
 class BackendClient
 {
 public:
     using CallId = std::uint64_t;
 
-    /// @param url Base of the backend server, "http://127.0.0.1:9000".
+    /// @param url Base URL of the backend server, "http://127.0.0.1:9000".
     BackendClient(EventLoop &loop, std::string url);
     ~BackendClient();
     BackendClient(const BackendClient &) = delete;
@@ -60,13 +60,13 @@
     /// Starts a call.
     CallId start(BackendCall call, std::shared_ptr<BackendCallHandler> handler);
 
-    /// Starts a health check (GET /health); only its end matters.
+    /// Starts a health check (GET /health).
     CallId checkHealth(milliseconds timeout, std::shared_ptr<BackendCallHandler> handler);
 
-    /// Gives a call up and closes its connection. Its handler is not called again.
+    /// Cancels a call and closes its connection. Its handler is not called again.
     void cancel(CallId call);
 
-    /// Stops or goes on reading an answer, while whoever it goes to is slow.
+    /// Pauses or resumes reading an answer, for flow control towards a slow receiver.
     void setPaused(CallId call, bool paused);
 
 private:
--- a/Source/Connection/Base64.cpp
+++ b/Source/Connection/Base64.cpp
@@ -42,16 +42,16 @@
     std::string bytes;
     bytes.reserve(text.size() / groupSize * 3);
     std::uint32_t bits = 0;
-    int held = 0;
+    int heldBits = 0;
     for (const char digit : digits) {
         const std::int8_t value = decodeTable[static_cast<unsigned char>(digit)];
         if (value == invalid)
             return std::nullopt;
         bits = (bits << bitsPerCharacter) | static_cast<std::uint32_t>(value);
-        held += bitsPerCharacter;
-        if (held >= 8) {
-            held -= 8;
-            bytes.push_back(static_cast<char>(bits >> held));
+        heldBits += bitsPerCharacter;
+        if (heldBits >= 8) {
+            heldBits -= 8;
+            bytes.push_back(static_cast<char>(bits >> heldBits));
         }
     }
     return bytes;
--- a/Source/Connection/CallerConnection.cpp
+++ b/Source/Connection/CallerConnection.cpp
@@ -13,8 +13,8 @@
                                  .received = [this](std::string_view bytes) { feed(bytes); },
                                  .ended =
                                      [this](TcpEnd) {
-                                         const auto left = events_.left;
-                                         left();
+                                         const auto closed = events_.closed;
+                                         closed();
                                      },
                                  .drained = [this] { events_.drained(); }});
 }
@@ -23,17 +23,17 @@
 {
     if (closing_)
         return;
-    if (!reader_.begun())
+    if (!reader_.requestStarted())
         waitingSince_ = monotonicNow();
     reader_.feed(bytes);
     if (answering_) {
-        tcp_->pauseReading(reader_.buffered() > aheadBytes);
+        tcp_->pauseReading(reader_.buffered() > maxPipelinedBytes);
         return;
     }
-    next();
+    handleNext();
 }
 
-void CallerConnection::next()
+void CallerConnection::handleNext()
 {
     if (reader_.fault() != RequestFault::None) {
         answering_ = true;
@@ -42,7 +42,7 @@
     }
     if (reader_.complete()) {
         answering_ = true;
-        events_.request(reader_.take());
+        events_.request(reader_.takeRequest());
         return;
     }
     if (reader_.expectsContinue())
@@ -54,7 +54,7 @@
     answering_ = false;
     waitingSince_ = now;
     tcp_->pauseReading(false);
-    next();
+    handleNext();
 }
 
 void CallerConnection::close()
--- a/Source/Connection/CallerConnection.h
+++ b/Source/Connection/CallerConnection.h
@@ -9,19 +9,19 @@
 
 namespace wisteria {
 
-/// What the owner of a caller's connection is told.
+/// Callbacks of a caller's connection.
 struct CallerEvents
 {
     std::function<void(HttpRequest)> request;
-    /// The bytes are no request that can be answered as one.
+    /// The caller's bytes can't be read as a request.
     std::function<void(RequestFault)> fault;
-    /// The caller closed or the connection broke.
-    std::function<void()> left;
-    /// Everything sent has gone out.
+    /// The caller closed the connection, or it was lost.
+    std::function<void()> closed;
+    /// All queued bytes have been handed to the kernel.
     std::function<void()> drained;
 };
 
-/// A caller's connection: one request at a time, the next one only after its answer.
+/// A caller's connection. Handles one request at a time: the next one only after finishAnswer().
 class CallerConnection
 {
 public:
@@ -31,28 +31,31 @@
     /// Sends a part of an answer.
     void send(std::string_view bytes) { tcp_->send(bytes); }
 
-    /// The answer is out; goes on to the next request.
+    /// Ends the answer and handles the next request.
     void finishAnswer(TimePoint now);
 
-    /// Closes once everything has gone out.
+    /// Closes the connection when all queued bytes have been sent.
     void close();
 
-    /// Closes at once, so that an unfinished answer can't look complete.
+    /// Closes the connection at once, so that the caller can't take an unfinished answer for a
+    /// complete one.
     void abort();
 
     std::size_t queued() const { return tcp_ ? tcp_->queued() : 0; }
     bool answering() const { return answering_; }
-    /// Since when the connection has waited for a request, or for the rest of one.
+    /// When the connection began to wait for a request or, once its first byte has arrived, for the
+    /// rest of that request.
     TimePoint waitingSince() const { return waitingSince_; }
-    /// A part of a request is there.
-    bool requestBegun() const { return reader_.begun(); }
+    /// Whether at least one byte of the next request has been received.
+    bool requestStarted() const { return reader_.requestStarted(); }
 
 private:
     void feed(std::string_view bytes);
-    void next();
+    void handleNext();
 
-    /// Bytes of further requests that a caller may send ahead of an answer.
-    static constexpr std::size_t aheadBytes = 65536;
+    /// Reading pauses when more bytes than this are buffered while an answer is being sent
+    /// (pipelined requests).
+    static constexpr std::size_t maxPipelinedBytes = 65536;
 
     CallerEvents events_;
     RequestReader reader_;
--- a/Source/Connection/CallerProtocol.cpp
+++ b/Source/Connection/CallerProtocol.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-constexpr std::string_view pathBegin = "/v1/services/";
-constexpr std::string_view pathEnd = "/requests";
+constexpr std::string_view pathPrefix = "/v1/services/";
+constexpr std::string_view pathSuffix = "/requests";
 constexpr std::uint32_t maxPriority = 9;
 constexpr std::uint32_t maxDeadlineMs = 3'600'000;
-/// Bytes of the body that stand for the prompt's prefix when the caller names none.
+/// Number of body bytes that are hashed as the prompt's prefix when the caller names none.
 constexpr std::size_t prefixBytes = 256;
 
 constexpr std::uint32_t statusBadRequest = 400;
@@ -29,22 +29,22 @@
 constexpr std::uint32_t statusUnavailable = 503;
 
 std::string headerOr(const CallerHttpRequest &http, const std::string &name,
-                     const std::string &otherwise)
+                     const std::string &fallback)
 {
     const auto found = http.headers.find(name);
-    return found == http.headers.end() ? otherwise : found->second;
+    return found == http.headers.end() ? fallback : found->second;
 }
 
 Result<std::uint32_t> numberHeader(const CallerHttpRequest &http, const std::string &name,
-                                   std::uint32_t most)
+                                   std::uint32_t maximum)
 {
     const std::string text = headerOr(http, name, "0");
     std::uint32_t number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-    if (error != std::errc() || end != text.data() + text.size() || number > most) {
+    if (error != std::errc() || end != text.data() + text.size() || number > maximum) {
         return failure(ErrorKind::BadInput,
                        "header " + name + " is '" + text + "'; give a whole number from 0 to "
-                           + std::to_string(most));
+                           + std::to_string(maximum));
     }
     return number;
 }
@@ -62,8 +62,8 @@
 Result<std::string> serviceOf(const CallerHttpRequest &http)
 {
     const std::string_view path = http.path;
-    const bool matches = path.size() > pathBegin.size() + pathEnd.size()
-        && path.starts_with(pathBegin) && path.ends_with(pathEnd);
+    const bool matches = path.size() > pathPrefix.size() + pathSuffix.size()
+        && path.starts_with(pathPrefix) && path.ends_with(pathSuffix);
     if (!matches) {
         return failure(ErrorKind::NotFound,
                        "no such path '" + http.path + "'; use POST /v1/services/NAME/requests");
@@ -72,8 +72,8 @@
         return failure(ErrorKind::BadInput,
                        "method " + http.method + " is not served here; use POST");
     }
-    const std::size_t length = path.size() - pathBegin.size() - pathEnd.size();
-    return std::string(path.substr(pathBegin.size(), length));
+    const std::size_t length = path.size() - pathPrefix.size() - pathSuffix.size();
+    return std::string(path.substr(pathPrefix.size(), length));
 }
 
 Result<void> readKey(const CallerHttpRequest &http, CallerRequest &request)
@@ -95,12 +95,12 @@
     return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
-/// Zero means "no prefix" on the wire.
+/// Returns the hash of the prompt's prefix, or 0, which means "no prefix" on the wire.
 std::uint64_t prefixOf(const CallerHttpRequest &http)
 {
-    const std::string named = headerOr(http, "wisteria-prefix", "");
-    if (!named.empty())
-        return std::max<std::uint64_t>(hashOf(named, 0), 1);
+    const std::string prefixHeader = headerOr(http, "wisteria-prefix", "");
+    if (!prefixHeader.empty())
+        return std::max<std::uint64_t>(hashOf(prefixHeader, 0), 1);
     if (http.body.size() < prefixBytes)
         return 0;
     return std::max<std::uint64_t>(hashOf(std::string_view(http.body).substr(0, prefixBytes), 0),
@@ -140,7 +140,7 @@
     }
 }
 
-/// Whether the key itself is in the way, so that only a new one helps.
+/// Whether the request was refused because of its key, so that a retry needs a new key.
 bool needsNewKey(v1::Reason reason)
 {
     return reason == v1::REASON_KEY_TOO_OLD || reason == v1::REASON_KEY_UNPROVEN;
@@ -223,8 +223,8 @@
     };
     CallerAnswer answer = jsonAnswer(statusOf(refusal), body);
     if (refusal.retryAfter.count() > 0) {
-        const auto whole = std::chrono::ceil<seconds>(refusal.retryAfter);
-        answer.headers["Retry-After"] = std::to_string(whole.count());
+        const auto retryAfterSeconds = std::chrono::ceil<seconds>(refusal.retryAfter);
+        answer.headers["Retry-After"] = std::to_string(retryAfterSeconds.count());
     }
     return answer;
 }
--- a/Source/Connection/CallerProtocol.h
+++ b/Source/Connection/CallerProtocol.h
@@ -5,18 +5,18 @@
 
 #include "Connection/CallerServer.h"
 #include "Process/Error.h"
-// The words of a request are plain data that the HTTP side only fills in.
+// CallerRequest and Refusal are value types without I/O.
 #include "Request/EntryRequest.h"
 
 namespace wisteria {
 
 /// Reads a caller's HTTP request.
-/// @param id Identity that the entry gives the request, 16 bytes.
-/// @return NotFound for a path that is no service's; BadInput, with the remedy, for a header that
-/// is missing or malformed.
+/// @param id Request id that the entry assigns, 16 bytes.
+/// @return NotFound for a path that names no service; BadInput for a wrong method or a missing or
+/// malformed header. The message says how to correct the request.
 Result<CallerRequest> readCallerRequest(const CallerHttpRequest &http, std::string id);
 
-/// A whole HTTP answer that is not the backend server's own.
+/// A complete HTTP answer that the entry generates itself.
 struct CallerAnswer
 {
     std::uint32_t status = 0;
@@ -24,13 +24,13 @@
     std::string body;
 };
 
-/// Tells the caller truthfully what became of a request without an answer.
+/// Answer to a request that got none from a backend server. States whether the request was run.
 CallerAnswer renderRefusal(const Refusal &refusal);
 
-/// Tells the caller what is wrong with its request; nothing was run.
+/// Answer to a malformed request, which was not run.
 CallerAnswer renderBadRequest(const Error &error);
 
-/// Name of a reason as callers and metrics see it, "queue_full".
+/// Name of a reason in answers and metrics, such as "queue_full".
 std::string reasonName(v1::Reason reason);
 
 } // namespace wisteria
--- a/Source/Connection/CallerServer.cpp
+++ b/Source/Connection/CallerServer.cpp
@@ -20,10 +20,11 @@
 
 constexpr int listenBacklog = 1024;
 constexpr std::size_t streamBlockBytes = 16 * 1024;
-/// A streamed answer that waits with fewer bytes than this counts as taken.
-constexpr std::size_t drainedBytes = 16 * 1024;
-/// How often idle connections are looked for.
-constexpr milliseconds housekeeping(1000);
+/// callerDrained() is called when the queue of a streamed answer falls from above this size to it
+/// or below.
+constexpr std::size_t lowWatermarkBytes = 16 * 1024;
+/// Interval of the check for idle connections.
+constexpr milliseconds idleCheckInterval(1000);
 
 std::string lowerCase(std::string_view text)
 {
@@ -64,8 +65,8 @@
 public:
     /// One request and its answer.
     ///
-    /// libmicrohttpd holds the connection suspended while there is nothing to send; each change
-    /// that gives it something to do resumes it.
+    /// The connection is suspended in libmicrohttpd while there is nothing to send, and resumed
+    /// when bytes or the end of the answer are added.
     class Exchange : public CallerExchange, public std::enable_shared_from_this<Exchange>
     {
     public:
@@ -114,7 +115,7 @@
             if (!connection_ || finished_)
                 return;
             body_.append(bytes);
-            wasFull_ = queuedBytes() > drainedBytes;
+            aboveLowWatermark_ = queuedBytes() > lowWatermarkBytes;
             resume();
         }
 
@@ -161,8 +162,8 @@
             if (copied > 0)
                 return static_cast<ssize_t>(copied);
             if (finished_) {
-                // The end mark goes out only behind a whole answer: a caller must not take a cut
-                // one for whole.
+                // The last chunk is sent only after a complete answer, so that a caller can't take
+                // an aborted one for complete.
                 return complete_ ? MHD_CONTENT_READER_END_OF_STREAM
                                  : MHD_CONTENT_READER_END_WITH_ERROR;
             }
@@ -172,9 +173,9 @@
 
         void noteDrained()
         {
-            if (!wasFull_ || queuedBytes() > drainedBytes)
+            if (!aboveLowWatermark_ || queuedBytes() > lowWatermarkBytes)
                 return;
-            wasFull_ = false;
+            aboveLowWatermark_ = false;
             Private *server = server_;
             server->loop_.defer([server, exchange = shared_from_this()] {
                 server->service_.callerDrained(*exchange);
@@ -193,7 +194,7 @@
         bool suspended_ = false;
         bool finished_ = false;
         bool complete_ = true;
-        bool wasFull_ = false;
+        bool aboveLowWatermark_ = false;
     };
 
     Private(EventLoop &loop, CallerService &service, CallerLimits limits)
@@ -203,10 +204,10 @@
     ~Private()
     {
         *alive_ = false;
-        loop_.cancel(housekeeping_);
+        loop_.cancel(idleCheckTimer_);
         if (!daemon_)
             return;
-        // libmicrohttpd may not be stopped while connections are suspended.
+        // libmicrohttpd must not be stopped while connections are suspended.
         for (Exchange *exchange : open_)
             exchange->resume();
         MHD_run(daemon_);
@@ -216,8 +217,8 @@
 
     Result<std::string> listen(const std::string &address)
     {
-        const ACE_INET_Addr wanted(address.c_str());
-        const int descriptor = openListeningSocket(wanted);
+        const ACE_INET_Addr local(address.c_str());
+        const int descriptor = openListeningSocket(local);
         if (descriptor < 0)
             return listenFailure(address);
         daemon_ = MHD_start_daemon(
@@ -232,7 +233,7 @@
         }
         epoll_ = MHD_get_daemon_info(daemon_, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd;
         loop_.watch(epoll_, Interest{.read = true}, [this](Interest) { run(); });
-        scheduleHousekeeping();
+        scheduleIdleCheck();
         sockaddr_in bound{};
         socklen_t length = sizeof(bound);
         ::getsockname(descriptor, reinterpret_cast<sockaddr *>(&bound), &length);
@@ -267,7 +268,7 @@
         runScheduled_ = false;
         MHD_run(daemon_);
         MHD_UNSIGNED_LONG_LONG timeout = 0;
-        // Connections that hold buffered input are not announced by the descriptor again.
+        // The epoll descriptor doesn't become readable again for input that is already buffered.
         if (MHD_get_timeout(daemon_, &timeout) == MHD_YES && timeout == 0)
             loop_.post([this, alive = alive_] {
                 if (*alive)
@@ -275,11 +276,11 @@
             });
     }
 
-    void scheduleHousekeeping()
+    void scheduleIdleCheck()
     {
-        housekeeping_ = loop_.runAfter(housekeeping, [this] {
+        idleCheckTimer_ = loop_.runAfter(idleCheckInterval, [this] {
             run();
-            scheduleHousekeeping();
+            scheduleIdleCheck();
         });
     }
 
@@ -300,7 +301,7 @@
         }
         const auto &exchange = *static_cast<std::shared_ptr<Exchange> *>(*context);
         if (*uploadSize > 0) {
-            takeBody(*exchange, {upload, *uploadSize});
+            appendBody(*exchange, {upload, *uploadSize});
             *uploadSize = 0;
             return MHD_YES;
         }
@@ -322,7 +323,7 @@
         *context = new std::shared_ptr<Exchange>(std::move(exchange));
     }
 
-    void takeBody(Exchange &exchange, std::string_view bytes)
+    void appendBody(Exchange &exchange, std::string_view bytes)
     {
         std::string &body = exchange.request_.body;
         exchange.tooLarge_ =
@@ -356,11 +357,11 @@
     static void onCompleted(void *self, MHD_Connection *, void **context,
                             MHD_RequestTerminationCode code)
     {
-        auto *held = static_cast<std::shared_ptr<Exchange> *>(*context);
-        if (!held)
+        auto *owner = static_cast<std::shared_ptr<Exchange> *>(*context);
+        if (!owner)
             return;
-        const std::shared_ptr<Exchange> exchange = std::move(*held);
-        delete held;
+        const std::shared_ptr<Exchange> exchange = std::move(*owner);
+        delete owner;
         *context = nullptr;
         auto *server = static_cast<Private *>(self);
         server->open_.erase(exchange.get());
@@ -377,7 +378,7 @@
     int epoll_ = -1;
     bool runScheduled_ = false;
     bool stopping_ = false;
-    EventLoop::TimerId housekeeping_ = 0;
+    EventLoop::TimerId idleCheckTimer_ = 0;
     std::set<Exchange *> open_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/Source/Connection/CallerServer.h
+++ b/Source/Connection/CallerServer.h
@@ -12,17 +12,17 @@
 
 namespace wisteria {
 
-/// One HTTP request of a caller, whole.
+/// One complete HTTP request of a caller.
 struct CallerHttpRequest
 {
     std::string method;
     std::string path;
-    /// By name in lower case; of a repeated header the last.
+    /// By name in lower case. A repeated header keeps its last value.
     std::map<std::string, std::string> headers;
     std::string body;
 };
 
-/// The answer to one caller. Belongs to the loop's thread.
+/// One request and its answer. Must be used on the loop's thread only.
 class CallerExchange
 {
 public:
@@ -30,51 +30,52 @@
 
     virtual const CallerHttpRequest &request() const = 0;
 
-    /// Answers at once and whole.
+    /// Sends a complete answer.
     virtual void answer(std::uint32_t status, const std::map<std::string, std::string> &headers,
                         std::string body) = 0;
 
-    /// Begins an answer whose bytes come later.
+    /// Starts a streamed answer, whose bytes follow by write().
     virtual void start(std::uint32_t status, const std::string &contentType) = 0;
 
-    /// Adds bytes to a begun answer.
+    /// Appends bytes to a streamed answer.
     virtual void write(std::string_view bytes) = 0;
 
-    /// Ends a begun answer. An incomplete one is cut: the connection is closed without the end
-    /// mark, so that the caller can't take it for whole.
+    /// Ends a streamed answer. If it is incomplete, the connection is closed without the last
+    /// chunk, so that the caller can't take the answer for a complete one.
     virtual void finish(bool complete) = 0;
 
-    /// Bytes that wait for the caller to take them.
+    /// Number of bytes that are not yet passed to the connection.
     virtual std::size_t queuedBytes() const = 0;
 };
 
-/// What a CallerServer's requests are answered by. Called on the loop's thread.
+/// Handles the requests of a CallerServer. Called on the loop's thread.
 class CallerService
 {
 public:
     virtual ~CallerService() = default;
 
-    /// A whole request has come.
+    /// A complete request was received.
     virtual void requestArrived(std::shared_ptr<CallerExchange> exchange) = 0;
 
-    /// The caller has gone before its answer was whole.
+    /// The connection ended before the answer was complete.
     virtual void callerLeft(CallerExchange &exchange) = 0;
 
-    /// The caller has taken what waited for it.
+    /// The queue of a streamed answer has fallen to the low watermark; more bytes may be written.
     virtual void callerDrained(CallerExchange &exchange) { static_cast<void>(exchange); }
 };
 
-/// Bounds on what callers may send and hold.
+/// Limits of what callers may send and of their connections.
 struct CallerLimits
 {
     std::size_t maxBodyBytes = 4 * 1024 * 1024;
-    /// Memory a connection, which bounds its headers; longer ones are answered with 431.
+    /// Memory of one connection in bytes. Limits the size of the headers: longer ones are answered
+    /// with 431.
     std::size_t connectionBytes = 16 * 1024;
     unsigned connections = 16384;
     seconds idle{75};
 };
 
-/// HTTP/1.1 for callers (libmicrohttpd) on an event loop.
+/// HTTP/1.1 server for callers (libmicrohttpd) on an event loop.
 class CallerServer
 {
 public:
@@ -84,16 +85,16 @@
     CallerServer(const CallerServer &) = delete;
     CallerServer &operator=(const CallerServer &) = delete;
 
-    /// Starts to listen; several servers of one process may share a port, and the system spreads
-    /// connections over them.
-    /// @return The address with the port in use; BadSettings when it can't be had.
+    /// Starts listening. Several servers of one process may share a port (SO_REUSEPORT); the kernel
+    /// distributes connections among them.
+    /// @return The bound address with its port; BadSettings when listening fails.
     Result<std::string> listen(const std::string &address);
 
-    /// Takes no new connection; requests that have come are answered, and connections are closed
-    /// after their answers.
+    /// Accepts no further connections. Received requests are still answered, and each connection is
+    /// closed after its answer.
     void beginShutdown();
 
-    /// Requests without a whole answer so far.
+    /// Number of requests without a complete answer.
     std::size_t openRequests() const;
 
 private:
--- a/Source/Connection/DatagramSocket.cpp
+++ b/Source/Connection/DatagramSocket.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Largest datagram that is received.
+/// Size of the receive buffer in bytes; no UDP datagram is larger.
 constexpr std::size_t datagramBytes = 65536;
 
 } // namespace
--- a/Source/Connection/DatagramSocket.h
+++ b/Source/Connection/DatagramSocket.h
@@ -9,8 +9,8 @@
 
 namespace wisteria {
 
-/// Sends and receives datagrams between the system's own processes. They may be lost, doubled or
-/// come in another order; messages are made to bear that.
+/// Sends and receives UDP datagrams between the system's processes. Datagrams may be lost,
+/// duplicated or reordered; the messages tolerate that.
 class DatagramSocket
 {
 public:
@@ -21,10 +21,11 @@
     DatagramSocket(const DatagramSocket &) = delete;
     DatagramSocket &operator=(const DatagramSocket &) = delete;
 
-    /// @return BadSettings that names the address when it can't be had.
+    /// Binds the socket to an address and starts to receive.
+    /// @return BadSettings, naming the address, when binding fails.
     Result<void> open(const Endpoint &address);
 
-    /// Sends a datagram, or drops it when the link is full.
+    /// Sends a datagram; drops it when the kernel doesn't accept it at once.
     void send(const Endpoint &to, std::string_view bytes);
 
 private:
--- a/Source/Connection/FrameCodec.cpp
+++ b/Source/Connection/FrameCodec.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t lengthBytes = 4;
-/// Consumed bytes are cut off the buffer only beyond this size, so that small frames cost no move.
+/// Consumed bytes are erased only above this size, so that reading a small frame moves no memory.
 constexpr std::size_t compactAbove = 64 * 1024;
 
 std::uint32_t readLength(const char *bytes)
@@ -41,8 +41,8 @@
 
 Result<std::optional<std::string>> FrameReader::next()
 {
-    const std::size_t held = buffer_.size() - consumed_;
-    if (held < lengthBytes)
+    const std::size_t buffered = buffer_.size() - consumed_;
+    if (buffered < lengthBytes)
         return std::optional<std::string>();
     const std::size_t length = readLength(buffer_.data() + consumed_);
     if (length > maxFrameBytes) {
@@ -51,7 +51,7 @@
                            + std::to_string(maxFrameBytes)
                            + " allowed; check that both processes run matching releases");
     }
-    if (held < lengthBytes + length)
+    if (buffered < lengthBytes + length)
         return std::optional<std::string>();
     std::string content = buffer_.substr(consumed_ + lengthBytes, length);
     consumed_ += lengthBytes + length;
--- a/Source/Connection/FrameCodec.h
+++ b/Source/Connection/FrameCodec.h
@@ -11,24 +11,24 @@
 
 namespace wisteria {
 
-/// Largest frame that a process accepts from a peer, in bytes.
+/// Maximum size in bytes of a frame that a process accepts from a peer.
 inline constexpr std::size_t maxFrameBytes = 4 * 1024 * 1024;
 
 /// Appends a message to `out`, preceded by its length as a four-byte big-endian number.
 void appendFrame(std::string &out, const google::protobuf::MessageLite &message);
 
-/// Splits a byte stream into frames. Input may come in pieces of any size.
+/// Splits a byte stream into frames. Input may be split at any byte.
 class FrameReader
 {
 public:
-    /// Takes the next bytes of the stream.
+    /// Appends the next bytes of the stream.
     void feed(std::string_view bytes);
 
-    /// The next whole frame's content, or nothing until more bytes come.
-    /// @return BadInput when a frame claims more than maxFrameBytes; the stream is then unusable.
+    /// Removes the next complete frame and returns its content, or nothing when it is incomplete.
+    /// @return BadInput when a frame declares more than maxFrameBytes; the stream is then unusable.
     Result<std::optional<std::string>> next();
 
-    /// Whether bytes of an unfinished frame are held.
+    /// Whether unread bytes, such as those of an incomplete frame, are buffered.
     bool hasPartialFrame() const { return buffer_.size() > consumed_; }
 
 private:
--- a/Source/Connection/Http2Headers.h
+++ b/Source/Connection/Http2Headers.h
@@ -8,7 +8,7 @@
 
 namespace wisteria {
 
-/// Makes one HTTP/2 header that points at text which outlives it.
+/// Makes an HTTP/2 header that refers to the given texts, which must outlive it.
 inline nghttp2_nv http2Header(std::string_view name, std::string_view value)
 {
     nghttp2_nv header{};
@@ -19,7 +19,7 @@
     return header;
 }
 
-/// The headers of a request between the system's processes. Must not outlive its arguments.
+/// The headers of a request to a peer. Must not outlive the constructor's arguments.
 class RequestHeaders
 {
 public:
--- a/Source/Connection/Http2Link.cpp
+++ b/Source/Connection/Http2Link.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t readBytes = 64 * 1024;
 constexpr std::size_t writeBytes = 64 * 1024;
-/// Reads a round, so that one busy peer can't keep the loop from the others.
+/// Maximum number of reads in one loop iteration, so that one busy peer can't starve the others.
 constexpr int readsPerRound = 4;
 
 } // namespace
@@ -21,7 +21,7 @@
 Http2Link::Http2Link(EventLoop &loop, nghttp2_session *session, int descriptor,
                      std::function<void()> closed)
     : loop_(loop), session_(session), descriptor_(descriptor), closed_(std::move(closed)),
-      lastHeard_(monotonicNow())
+      lastReceivedAt_(monotonicNow())
 {
     updateInterest();
     flushSoon();
@@ -103,7 +103,7 @@
             continue;
         if (length <= 0)
             return close();
-        lastHeard_ = monotonicNow();
+        lastReceivedAt_ = monotonicNow();
         if (nghttp2_session_mem_recv(session_, buffer.data(), length) < 0)
             return close();
         if (static_cast<std::size_t>(length) < buffer.size())
--- a/Source/Connection/Http2Link.h
+++ b/Source/Connection/Http2Link.h
@@ -9,14 +9,14 @@
 
 namespace wisteria {
 
-/// Moves the bytes of one HTTP/2 session over one non-blocking socket. Owns both.
+/// Transfers the bytes of an HTTP/2 session over a non-blocking socket. Owns both.
 class Http2Link
 {
 public:
-    /// @param session Taken over.
-    /// @param descriptor A connected, non-blocking socket; taken over.
-    /// @param closed Called once, at the end of a round of the loop, when the peer has gone, the
-    /// session has nothing left to do or the bytes were no HTTP/2. The link may be destroyed there.
+    /// @param session The link becomes its owner.
+    /// @param descriptor A connected, non-blocking socket. The link becomes its owner.
+    /// @param closed Called once, at the end of a loop iteration, when the connection was lost, the
+    /// session has finished or the peer violated HTTP/2. May destroy the link.
     Http2Link(EventLoop &loop, nghttp2_session *session, int descriptor,
               std::function<void()> closed);
     ~Http2Link();
@@ -25,15 +25,15 @@
 
     nghttp2_session *session() const { return session_; }
 
-    /// Sends what the session has to send at the end of this round, so that many messages share one
-    /// system call.
+    /// Sends the session's output at the end of this loop iteration, so that many messages share
+    /// one system call.
     void flushSoon();
 
-    /// Sends what the session has to send now, as far as the socket takes it.
+    /// Sends as much of the session's output as the socket accepts now.
     void flush();
 
-    /// When bytes last came from the peer.
-    TimePoint lastHeard() const { return lastHeard_; }
+    /// When bytes were last received from the peer.
+    TimePoint lastReceivedAt() const { return lastReceivedAt_; }
 
     bool isClosed() const { return closing_; }
 
@@ -49,11 +49,11 @@
     std::function<void()> closed_;
     std::string pending_;
     std::size_t sent_ = 0;
-    TimePoint lastHeard_;
+    TimePoint lastReceivedAt_;
     Interest interest_;
     bool flushScheduled_ = false;
     bool closing_ = false;
-    /// Outlives the link in deferred tasks, which find out by it that the link is gone.
+    /// Set to false by the destructor. Deferred tasks hold a copy and do nothing once it is false.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/Source/Connection/HttpClientPool.cpp
+++ b/Source/Connection/HttpClientPool.cpp
@@ -12,58 +12,60 @@
 
 namespace {
 
-/// How long an idle connection is kept when the server does not say. Shorter than the idle
-/// timeouts of common servers, so that a request does not cross the server's close.
-constexpr milliseconds defaultIdle{2000};
-/// Safety before the end that the server announced: the way there and a late timer.
-constexpr milliseconds idleMargin{700};
-
-/// The "timeout=5" of a Keep-Alive field.
-milliseconds idleTimeOf(const HttpResponseHead &head)
+/// Idle timeout when the server announces none. Shorter than the idle timeouts of common servers,
+/// so that no request is sent while the server closes the connection.
+constexpr milliseconds defaultIdleTimeout{2000};
+/// Subtracted from the idle timeout that the server announced. Covers the network delay and a late
+/// timer.
+constexpr milliseconds idleTimeoutMargin{700};
+
+/// Returns the idle timeout from the "timeout=5" of a Keep-Alive field, less the margin.
+milliseconds idleTimeoutOf(const HttpResponseHead &head)
 {
     const std::string *field = findField(head.fields, "Keep-Alive");
     if (field == nullptr)
-        return defaultIdle;
+        return defaultIdleTimeout;
     const std::size_t at = field->find("timeout=");
     if (at == std::string::npos)
-        return defaultIdle;
+        return defaultIdleTimeout;
     int value = 0;
     const char *begin = field->data() + at + std::string_view("timeout=").size();
     std::from_chars(begin, field->data() + field->size(), value);
-    return std::max(milliseconds(0), milliseconds(seconds(value)) - idleMargin);
+    return std::max(milliseconds(0), milliseconds(seconds(value)) - idleTimeoutMargin);
 }
 
-/// The events of a connection go to whoever uses it at the time.
-struct Wire
+/// Callbacks of the call that currently uses a connection; empty while the connection is idle.
+struct ConnectionCallbacks
 {
     std::function<void()> connected;
     std::function<void(std::string_view)> received;
     std::function<void(TcpEnd)> ended;
-    std::shared_ptr<bool> dead = std::make_shared<bool>(false);
+    /// Set when the connection has ended, or has received bytes while idle.
+    std::shared_ptr<bool> unusable = std::make_shared<bool>(false);
 };
 
-TcpEvents eventsOf(const std::shared_ptr<Wire> &wire)
+TcpEvents eventsOf(const std::shared_ptr<ConnectionCallbacks> &callbacks)
 {
     return {.connected =
-                [wire] {
-                    const auto call = wire->connected;
-                    if (call)
-                        call();
+                [callbacks] {
+                    const auto callback = callbacks->connected;
+                    if (callback)
+                        callback();
                 },
             .received =
-                [wire](std::string_view bytes) {
-                    const auto call = wire->received;
-                    if (call)
-                        call(bytes);
+                [callbacks](std::string_view bytes) {
+                    const auto callback = callbacks->received;
+                    if (callback)
+                        callback(bytes);
                     else
-                        *wire->dead = true;
+                        *callbacks->unusable = true;
                 },
             .ended =
-                [wire](TcpEnd how) {
-                    *wire->dead = true;
-                    const auto call = wire->ended;
-                    if (call)
-                        call(how);
+                [callbacks](TcpEnd end) {
+                    *callbacks->unusable = true;
+                    const auto callback = callbacks->ended;
+                    if (callback)
+                        callback(end);
                 },
             .drained = {}};
 }
@@ -71,14 +73,14 @@
 struct PooledConnection
 {
     std::unique_ptr<TcpConnection> tcp;
-    std::shared_ptr<Wire> wire;
+    std::shared_ptr<ConnectionCallbacks> callbacks;
 };
 
-/// A connection that waits for its next request.
+/// A connection without a request in flight.
 struct IdleConnection
 {
     PooledConnection connection;
-    TimePoint until;
+    TimePoint expiresAt;
 };
 
 } // namespace
@@ -99,20 +101,19 @@
 class PooledCall : public HttpCall
 {
 public:
-    PooledCall(Endpoint to, CallEvents events, bool noBody)
-        : to_(to), events_(std::move(events)), noBody_(noBody)
+    PooledCall(Endpoint to, CallEvents events, bool isHead)
+        : to_(to), events_(std::move(events)), isHead_(isHead)
     {
         startReader();
     }
 
     ~PooledCall() override
     {
-        *gone_ = true;
-        if (!wire_)
+        *destroyed_ = true;
+        if (!callbacks_)
             return;
-        // Nobody waits for the answer any more. A backend server that stands still would find the
-        // request when it goes on, seconds after the caller left, and run it; after a reset it does
-        // not.
+        // The answer is no longer needed. After an orderly close a frozen backend server would
+        // still read and run the request when it resumes, seconds later; after a reset it does not.
         tcp_->abort();
         release();
     }
@@ -128,16 +129,16 @@
     void attach(PooledConnection connection, bool connected, std::string request)
     {
         tcp_ = std::move(connection.tcp);
-        wire_ = std::move(connection.wire);
+        callbacks_ = std::move(connection.callbacks);
         request_ = std::move(request);
-        wire_->connected = [this] { send(); };
-        wire_->received = [this](std::string_view bytes) { feed(bytes); };
-        wire_->ended = [this](TcpEnd how) { onEnded(how); };
+        callbacks_->connected = [this] { send(); };
+        callbacks_->received = [this](std::string_view bytes) { feed(bytes); };
+        callbacks_->ended = [this](TcpEnd end) { onEnded(end); };
         if (connected)
             send();
     }
 
-    std::function<void(PooledConnection, milliseconds)> giveBack_;
+    std::function<void(PooledConnection, milliseconds)> returnToPool_;
 
 private:
     void startReader()
@@ -146,8 +147,8 @@
             ResponseEvents{.head = [this](HttpResponseHead head) { onHead(std::move(head)); },
                            .body = [this](std::string_view bytes) { onBody(bytes); },
                            .complete = [this] { onComplete(); },
-                           .malformed = [this](std::string why) { fail(std::move(why)); }},
-            noBody_);
+                           .malformed = [this](std::string reason) { fail(std::move(reason)); }},
+            isHead_);
     }
 
     void send()
@@ -161,110 +162,110 @@
 
     void onHead(HttpResponseHead head)
     {
-        foreign_ = events_.accept && !events_.accept(head);
-        if (foreign_ && foreignSeen_) {
+        skippingAnswer_ = events_.accept && !events_.accept(head);
+        if (skippingAnswer_ && answerSkipped_) {
             fail("a second answer to another request");
             return;
         }
-        if (foreign_) {
-            foreignSeen_ = true;
+        if (skippingAnswer_) {
+            answerSkipped_ = true;
             return;
         }
-        headSeen_ = true;
+        headReceived_ = true;
         head_ = std::move(head);
-        // The owner may destroy the call, and with it these functions, while one of them runs.
-        const auto tell = events_.head;
-        tell(head_);
+        // The callback may destroy the call and `events_`, so a copy is called.
+        const auto callback = events_.head;
+        callback(head_);
     }
 
     void onBody(std::string_view bytes)
     {
-        if (foreign_)
+        if (skippingAnswer_)
             return;
-        const auto tell = events_.body;
-        tell(bytes);
+        const auto callback = events_.body;
+        callback(bytes);
     }
 
     void onComplete()
     {
-        if (foreign_) {
-            const std::string rest = reader_->surplus();
-            // The reader is running; it goes once it has returned.
-            retired_ = std::move(reader_);
+        if (skippingAnswer_) {
+            const std::string remaining = reader_->trailingBytes();
+            // The reader is running this callback, so it must not be destroyed yet.
+            previousReader_ = std::move(reader_);
             startReader();
-            foreign_ = false;
-            if (!rest.empty())
-                reader_->feed(rest);
+            skippingAnswer_ = false;
+            if (!remaining.empty())
+                reader_->feed(remaining);
             return;
         }
-        const bool reusable = head_.keepAlive && head_.framed && !foreignSeen_
-            && reader_->surplus().empty() && tcp_->queued() == 0 && !*wire_->dead;
+        const bool reusable = head_.keepAlive && head_.framed && !answerSkipped_
+            && reader_->trailingBytes().empty() && tcp_->queued() == 0 && !*callbacks_->unusable;
         if (reusable)
-            giveBack();
+            returnToPool();
         else
             release();
         const auto complete = events_.complete;
         complete();
     }
 
-    void onEnded(TcpEnd how)
+    void onEnded(TcpEnd end)
     {
-        if (how == TcpEnd::Refused || !sent_) {
+        if (end == TcpEnd::Refused || !sent_) {
             fail("the connection was refused");
             return;
         }
-        if (how == TcpEnd::Closed && headSeen_) {
-            const auto gone = gone_;
+        if (end == TcpEnd::Closed && headReceived_) {
+            const auto destroyed = destroyed_;
             reader_->feedEnd();
-            if (*gone || !wire_)
+            if (*destroyed || !callbacks_)
                 return;
         }
-        fail(how == TcpEnd::Closed ? "the connection was closed" : "the connection was reset");
+        fail(end == TcpEnd::Closed ? "the connection was closed" : "the connection was reset");
     }
 
     void fail(std::string reason)
     {
-        if (!wire_)
+        if (!callbacks_)
             return;
         release();
-        const CallFailure failure{!sent_, headSeen_, std::move(reason)};
+        const CallFailure failure{!sent_, headReceived_, std::move(reason)};
         const auto failed = events_.failed;
         failed(failure);
     }
 
-    void giveBack()
+    void returnToPool()
     {
-        wire_->connected = nullptr;
-        wire_->received = nullptr;
-        wire_->ended = nullptr;
-        const milliseconds idle = idleTimeOf(head_);
-        giveBack_({std::move(tcp_), std::move(wire_)}, idle);
-        wire_ = nullptr;
+        callbacks_->connected = nullptr;
+        callbacks_->received = nullptr;
+        callbacks_->ended = nullptr;
+        const milliseconds idleTimeout = idleTimeoutOf(head_);
+        returnToPool_({std::move(tcp_), std::move(callbacks_)}, idleTimeout);
+        callbacks_ = nullptr;
     }
 
     void release()
     {
-        wire_->connected = nullptr;
-        wire_->received = nullptr;
-        wire_->ended = nullptr;
+        callbacks_->connected = nullptr;
+        callbacks_->received = nullptr;
+        callbacks_->ended = nullptr;
         tcp_.reset();
-        wire_ = nullptr;
+        callbacks_ = nullptr;
     }
 
     Endpoint to_;
     CallEvents events_;
-    bool noBody_;
+    bool isHead_;
     std::unique_ptr<TcpConnection> tcp_;
-    std::shared_ptr<Wire> wire_;
+    std::shared_ptr<ConnectionCallbacks> callbacks_;
     std::unique_ptr<ResponseReader> reader_;
-    std::unique_ptr<ResponseReader> retired_;
+    std::unique_ptr<ResponseReader> previousReader_;
     HttpResponseHead head_;
     std::string request_;
-    std::shared_ptr<bool> gone_ = std::make_shared<bool>(false);
+    std::shared_ptr<bool> destroyed_ = std::make_shared<bool>(false);
     bool sent_ = false;
-    bool headSeen_ = false;
-    bool foreign_ = false;
-    bool foreignSeen_ = false;
+    bool headReceived_ = false;
+    bool skippingAnswer_ = false;
+    bool answerSkipped_ = false;
 };
 
 } // namespace
@@ -280,34 +281,36 @@
 std::unique_ptr<HttpCall> HttpClientPool::call(const Endpoint &to, std::string request,
                                                ConnectionUse use, CallEvents events, TimePoint now)
 {
-    const bool noBody = request.starts_with("HEAD ");
-    auto call = std::make_unique<PooledCall>(to, std::move(events), noBody);
-    call->giveBack_ = [state = private_, to](PooledConnection connection, milliseconds idle) {
-        if (state->closed_ || idle <= milliseconds(0))
+    const bool isHead = request.starts_with("HEAD ");
+    auto call = std::make_unique<PooledCall>(to, std::move(events), isHead);
+    call->returnToPool_ = [state = private_, to](PooledConnection connection,
+                                                 milliseconds idleTimeout) {
+        if (state->closed_ || idleTimeout <= milliseconds(0))
             return;
-        state->idle_[to].push_back({std::move(connection), Clock::now() + idle});
+        state->idle_[to].push_back({std::move(connection), Clock::now() + idleTimeout});
     };
     auto &idle = private_->idle_[to];
     while (use == ConnectionUse::Reuse && !idle.empty()) {
-        IdleConnection kept = std::move(idle.back());
+        IdleConnection idleConnection = std::move(idle.back());
         idle.pop_back();
-        if (*kept.connection.wire->dead || kept.until <= now)
+        if (*idleConnection.connection.callbacks->unusable || idleConnection.expiresAt <= now)
             continue;
-        call->attach(std::move(kept.connection), true, std::move(request));
+        call->attach(std::move(idleConnection.connection), true, std::move(request));
         return call;
     }
-    auto wire = std::make_shared<Wire>();
+    auto callbacks = std::make_shared<ConnectionCallbacks>();
     ++private_->opened_;
-    auto tcp = TcpConnection::connect(private_->loop_, to, eventsOf(wire));
-    call->attach({std::move(tcp), std::move(wire)}, false, std::move(request));
+    auto tcp = TcpConnection::connect(private_->loop_, to, eventsOf(callbacks));
+    call->attach({std::move(tcp), std::move(callbacks)}, false, std::move(request));
     return call;
 }
 
 void HttpClientPool::closeExpired(TimePoint now)
 {
     for (auto &[endpoint, connections] : private_->idle_) {
-        std::erase_if(connections, [now](const IdleConnection &kept) {
-            return *kept.connection.wire->dead || kept.until <= now;
+        std::erase_if(connections, [now](const IdleConnection &idleConnection) {
+            return *idleConnection.connection.callbacks->unusable
+                || idleConnection.expiresAt <= now;
         });
     }
     std::erase_if(private_->idle_, [](const auto &entry) { return entry.second.empty(); });
--- a/Source/Connection/HttpClientPool.h
+++ b/Source/Connection/HttpClientPool.h
@@ -13,21 +13,22 @@
 
 namespace wisteria {
 
-/// How a call without a whole answer ended.
+/// Why a call failed to get a complete answer.
 struct CallFailure
 {
-    /// No byte of the request has left, so it has not run.
+    /// No byte of the request was sent, so the server has not run it.
     bool neverSent = false;
-    /// The head of the answer had arrived.
-    bool headSeen = false;
+    /// The head of the answer was received.
+    bool headReceived = false;
     std::string reason;
 };
 
-/// What the owner of a call is told. It may destroy the call in any of them.
+/// Callbacks of a call. Each may destroy the call.
 struct CallEvents
 {
-    /// Whether the answer belongs to the call. One that does not is read over once: a backend
-    /// server may send an answer late, where the next one is expected. Empty accepts all.
+    /// Whether the answer belongs to the call. The first answer that doesn't is skipped: a backend
+    /// server may send a late answer to an earlier request on the same connection. A second one
+    /// fails the call. An empty function accepts all answers.
     std::function<bool(const HttpResponseHead &)> accept;
     std::function<void(const HttpResponseHead &)> head;
     std::function<void(std::string_view)> body;
@@ -35,30 +36,31 @@
     std::function<void(const CallFailure &)> failed;
 };
 
-/// One HTTP/1.1 request on its way. Destroying it before its end closes the connection, which
-/// makes most backend servers drop the request.
+/// One HTTP/1.1 request in flight. Destroying it before it ends resets the connection, on which
+/// most backend servers abort the request.
 class HttpCall
 {
 public:
     virtual ~HttpCall() = default;
-    /// Whether the connection stands, so that the request may have been read.
+    /// Whether the request was passed to an established connection. The server may have read it.
     virtual bool sent() const = 0;
-    /// Stops or resumes reading the answer.
+    /// Pauses or resumes reading the answer.
     virtual void pauseReading(bool pause) = 0;
 };
 
-/// How a call picks its connection.
+/// Which connection a call uses.
 enum class ConnectionUse {
-    Reuse, ///< An idle connection where there is one.
-    /// Always a new one. A kept connection may be closed by the other side just as a request
-    /// goes out; whether it ran is then unknown, and one that may not repeat would be lost.
+    Reuse, ///< An idle connection if there is one, else a new one.
+    /// Always a new connection. The server may close an idle connection just as a request is
+    /// sent. It is then unknown whether the request ran, and one that is not idempotent can't be
+    /// retried.
     Fresh,
 };
 
-/// HTTP/1.1 connections to any number of servers, one request at a time on each.
+/// Pool of HTTP/1.1 connections to any number of servers, with one request at a time on each.
 ///
-/// A connection is used again only after a whole, framed answer with nothing behind it, and within
-/// the time that the server said it keeps it. Requests are never sent again by themselves.
+/// A connection is reused only after a complete answer that marks its own end, with no bytes after
+/// it, and within the idle timeout that the server announced. The pool never resends a request.
 class HttpClientPool
 {
 public:
@@ -67,14 +69,15 @@
     HttpClientPool(const HttpClientPool &) = delete;
     HttpClientPool &operator=(const HttpClientPool &) = delete;
 
-    /// @param request The whole request as bytes; a HEAD must begin with "HEAD ".
+    /// Sends a request to a server.
+    /// @param request The serialised request. A HEAD request must begin with "HEAD ".
     std::unique_ptr<HttpCall> call(const Endpoint &to, std::string request, ConnectionUse use,
                                    CallEvents events, TimePoint now);
 
-    /// Closes connections whose time is over.
+    /// Closes idle connections that have expired.
     void closeExpired(TimePoint now);
 
-    /// Connections opened so far.
+    /// Number of connections opened so far.
     std::uint64_t opened() const;
 
 private:
--- a/Source/Connection/HttpLogClient.cpp
+++ b/Source/Connection/HttpLogClient.cpp
@@ -11,16 +11,16 @@
 
 using Json = nlohmann::json;
 
-/// Records asked for in one read; with records of a few hundred bytes an answer stays small.
+/// Maximum number of records in one read. Records have a few hundred bytes, so answers stay small.
 constexpr int recordsPerRead = 512;
-/// What a read may take beyond the time that the service was asked to wait.
+/// Added to the time that the service may wait for records to get the timeout of a read.
 constexpr milliseconds readGrace(3000);
 constexpr long httpOk = 200;
 constexpr long httpClientError = 400;
 constexpr long httpServerError = 500;
 constexpr long httpUnavailable = 503;
 
-/// Says of a failed append whether it is proved that nothing was written.
+/// Classifies a failed append by whether it is certain that nothing was written.
 Result<Offset> appendFailure(const PlatformAnswer &answer, const std::string &url)
 {
     const std::string what = "the log at " + url + " did not append (" + describe(answer) + ")";
--- a/Source/Connection/HttpLogClient.h
+++ b/Source/Connection/HttpLogClient.h
@@ -10,12 +10,13 @@
 
 class PlatformHttp;
 
-/// The log service over HTTP, as docs/design/overview.md describes it. One thread at a time may
-/// call an object; threads that append while another one waits in read() each have their own.
+/// Client of the log service over HTTP (docs/design/overview.md). Only one thread at a time may
+/// call an object, except for interrupt(). A thread that appends while another one waits in read()
+/// needs a separate object.
 class HttpLogClient : public LogClient
 {
 public:
-    /// @param url Base of the service, "http://127.0.0.1:9000", without a slash at the end.
+    /// @param url Base URL of the service without a trailing slash, "http://127.0.0.1:9000".
     explicit HttpLogClient(std::string url);
     ~HttpLogClient() override;
 
@@ -25,7 +26,7 @@
 
     void interrupt() override;
 
-    /// Bytes of requests and answers so far, headers included, without those of TCP and IP.
+    /// Bytes of requests and answers so far, with HTTP headers and without TCP and IP headers.
     std::uint64_t transferredBytes() const;
 
 private:
--- a/Source/Connection/HttpMessage.cpp
+++ b/Source/Connection/HttpMessage.cpp
@@ -46,13 +46,13 @@
     return nullptr;
 }
 
-bool fieldHasWord(const HttpFields &fields, std::string_view name, std::string_view word)
+bool fieldHasToken(const HttpFields &fields, std::string_view name, std::string_view token)
 {
     for (const HttpField &field : fields) {
         if (!sameFieldName(field.name, name))
             continue;
-        boost::beast::http::token_list words(field.value);
-        if (words.exists(boost::beast::string_view(word.data(), word.size())))
+        boost::beast::http::token_list tokens(field.value);
+        if (tokens.exists(boost::beast::string_view(token.data(), token.size())))
             return true;
     }
     return false;
--- a/Source/Connection/HttpMessage.h
+++ b/Source/Connection/HttpMessage.h
@@ -8,7 +8,7 @@
 
 namespace wisteria {
 
-/// One header field as it stood in the message.
+/// One header field, in the message's spelling.
 struct HttpField
 {
     std::string name;
@@ -17,16 +17,16 @@
 
 using HttpFields = std::vector<HttpField>;
 
-/// Compares field names, whose case does not count.
+/// Compares field names, ignoring case.
 bool sameFieldName(std::string_view a, std::string_view b);
 
-/// The value of the first field of that name, or null.
+/// Returns the value of the first field with the name, or null.
 const std::string *findField(const HttpFields &fields, std::string_view name);
 
-/// Whether a comma-separated list field holds the word; neither's case counts.
-bool fieldHasWord(const HttpFields &fields, std::string_view name, std::string_view word);
+/// Whether a comma-separated list field contains the token. Ignores the case of both.
+bool fieldHasToken(const HttpFields &fields, std::string_view name, std::string_view token);
 
-/// Whether the field concerns one connection only and is never passed on.
+/// Whether the field is hop-by-hop or frames the body, and so is never forwarded.
 bool isConnectionField(std::string_view name);
 
 struct HttpRequest
@@ -37,7 +37,7 @@
     int version = 11;
     HttpFields fields;
     std::string body;
-    /// The connection may carry another request after this one.
+    /// Whether the connection may be reused after this request.
     bool keepAlive = true;
 };
 
@@ -47,7 +47,8 @@
     std::string reason;
     HttpFields fields;
     bool keepAlive = true;
-    /// The body's end shows in the message itself, not only in the end of the connection.
+    /// Whether the message itself marks the end of its body. Otherwise the end of the connection
+    /// does.
     bool framed = true;
 };
 
@@ -57,20 +58,20 @@
     std::string body;
 };
 
-/// The usual reason phrase of a status.
+/// Returns the standard reason phrase of a status.
 const char *reasonOf(int status);
 
-/// A response with a length, as bytes.
+/// Serialises a response with a Content-Length.
 std::string responseText(int status, const HttpFields &fields, std::string_view body,
                          bool keepAlive);
 
-/// The head of a response whose body follows in chunks, as bytes.
+/// Serialises the head of a response with a chunked body.
 std::string chunkedHeadText(int status, const HttpFields &fields, bool keepAlive);
 
-/// One chunk of a body, as bytes. Must not be empty: that would end the body.
+/// Serialises one chunk of a body. The bytes must not be empty: an empty chunk ends the body.
 std::string chunkText(std::string_view bytes);
 
-/// Ends a body in chunks.
+/// Last chunk, which ends a chunked body.
 inline constexpr std::string_view lastChunkText = "0\r\n\r\n";
 
 } // namespace wisteria
--- a/Source/Connection/HttpReader.cpp
+++ b/Source/Connection/HttpReader.cpp
@@ -16,9 +16,9 @@
 using boost::beast::error_code;
 using boost::beast::string_view;
 
-/// Header bytes taken from a backend server.
+/// Maximum size of a backend server's response head in bytes.
 constexpr std::uint32_t responseHeaderBytes = 32768;
-/// Body bytes taken from a backend server; streams are passed on as they come.
+/// Maximum size of a backend server's response body in bytes. Bodies are forwarded as they arrive.
 constexpr std::uint64_t responseBodyBytes = 64ULL * 1024 * 1024;
 
 std::string toString(string_view text)
@@ -26,7 +26,7 @@
     return std::string(text.data(), text.size());
 }
 
-/// Boost.Beast's parser with everything it finds collected.
+/// A Boost.Beast parser that stores the start line and fields and passes body bytes to onBody_.
 template <bool isRequest> class Parser : public http::basic_parser<isRequest>
 {
 public:
@@ -36,7 +36,7 @@
     int version_ = 11;
     int status_ = 0;
     HttpFields fields_;
-    bool headSeen_ = false;
+    bool headParsed_ = false;
     std::function<void(string_view)> onBody_;
 
 protected:
@@ -57,7 +57,7 @@
     {
         fields_.push_back({toString(name), toString(value)});
     }
-    void on_header_impl(error_code &) override { headSeen_ = true; }
+    void on_header_impl(error_code &) override { headParsed_ = true; }
     void on_body_init_impl(const boost::optional<std::uint64_t> &, error_code &) override { }
     std::size_t on_body_impl(string_view body, error_code &) override
     {
@@ -82,8 +82,9 @@
     return RequestFault::Malformed;
 }
 
-/// A transfer coding besides "chunked", or an HTTP/1.0 message in chunks, has an end that the next
-/// server may see elsewhere: bytes of one request could be run as another.
+/// Whether another server may see the end or the host of the request differently (request
+/// smuggling): a transfer coding other than "chunked", chunks in HTTP/1.0, or two Host fields.
+/// Bytes of one request could then run as another.
 bool isAmbiguous(const Parser<true> &parser)
 {
     bool host = false;
@@ -105,13 +106,13 @@
 class RequestReader::Private
 {
 public:
-    explicit Private(const HttpLimits &limits) : limits_(limits) { begin(); }
+    explicit Private(const HttpLimits &limits) : limits_(limits) { resetParser(); }
 
-    void begin()
+    void resetParser()
     {
         parser_.emplace();
         body_.clear();
-        continueTold_ = false;
+        continueHandled_ = false;
         parser_->onBody_ = [this](string_view bytes) { body_.append(bytes.data(), bytes.size()); };
         parser_->header_limit(static_cast<std::uint32_t>(limits_.headerBytes));
         parser_->body_limit(limits_.bodyBytes);
@@ -129,7 +130,7 @@
                 return;
             if (error)
                 fault_ = faultOf(error);
-            else if (parser_->headSeen_ && isAmbiguous(*parser_))
+            else if (parser_->headParsed_ && isAmbiguous(*parser_))
                 fault_ = RequestFault::Malformed;
             if (used == 0)
                 return;
@@ -141,7 +142,7 @@
     std::string input_;
     std::string body_;
     RequestFault fault_ = RequestFault::None;
-    bool continueTold_ = false;
+    bool continueHandled_ = false;
 };
 
 RequestReader::RequestReader(const HttpLimits &limits) : private_(std::make_unique<Private>(limits))
@@ -160,7 +161,7 @@
     return private_->fault_ == RequestFault::None && private_->parser_->is_done();
 }
 
-HttpRequest RequestReader::take()
+HttpRequest RequestReader::takeRequest()
 {
     Parser<true> &parser = *private_->parser_;
     HttpRequest request{.method = std::move(parser.method_),
@@ -169,7 +170,7 @@
                         .fields = std::move(parser.fields_),
                         .body = std::move(private_->body_),
                         .keepAlive = parser.keep_alive()};
-    private_->begin();
+    private_->resetParser();
     private_->parse();
     return request;
 }
@@ -181,13 +182,14 @@
 
 bool RequestReader::expectsContinue()
 {
-    if (private_->continueTold_ || !private_->parser_->headSeen_ || private_->parser_->is_done())
+    if (private_->continueHandled_ || !private_->parser_->headParsed_
+        || private_->parser_->is_done())
         return false;
-    private_->continueTold_ = true;
-    return fieldHasWord(private_->parser_->fields_, "Expect", "100-continue");
+    private_->continueHandled_ = true;
+    return fieldHasToken(private_->parser_->fields_, "Expect", "100-continue");
 }
 
-bool RequestReader::begun() const
+bool RequestReader::requestStarted() const
 {
     return !private_->input_.empty() || private_->parser_->got_some();
 }
@@ -200,13 +202,15 @@
 class ResponseReader::Private
 {
 public:
-    Private(ResponseEvents events, bool noBody) : events_(std::move(events))
+    Private(ResponseEvents events, bool isHead) : events_(std::move(events))
     {
-        parser_.onBody_ = [this](string_view bytes) { piece_.append(bytes.data(), bytes.size()); };
+        parser_.onBody_ = [this](string_view bytes) {
+            pendingBody_.append(bytes.data(), bytes.size());
+        };
         parser_.header_limit(responseHeaderBytes);
         parser_.body_limit(responseBodyBytes);
         parser_.eager(true);
-        parser_.skip(noBody);
+        parser_.skip(isHead);
     }
 
     void parse()
@@ -223,7 +227,7 @@
             if (used == 0)
                 break;
         }
-        tell();
+        deliverEvents();
     }
 
     void fail(std::string reason)
@@ -232,52 +236,52 @@
         events_.malformed(std::move(reason));
     }
 
-    void tell()
+    void deliverEvents()
     {
-        if (parser_.headSeen_ && !headTold_) {
-            headTold_ = true;
+        if (parser_.headParsed_ && !headDelivered_) {
+            headDelivered_ = true;
             events_.head({.status = parser_.status_,
                           .reason = std::move(parser_.reason_),
                           .fields = std::move(parser_.fields_),
                           .keepAlive = parser_.keep_alive(),
                           .framed = !parser_.need_eof()});
         }
-        if (dropped_)
+        if (destroyed_)
             return;
-        if (!piece_.empty()) {
-            std::string piece;
-            piece.swap(piece_);
-            events_.body(piece);
+        if (!pendingBody_.empty()) {
+            std::string part;
+            part.swap(pendingBody_);
+            events_.body(part);
         }
-        if (dropped_ || !parser_.is_done() || completeTold_)
+        if (destroyed_ || !parser_.is_done() || completeDelivered_)
             return;
-        completeTold_ = true;
+        completeDelivered_ = true;
         events_.complete();
     }
 
     ResponseEvents events_;
     Parser<false> parser_;
     std::string input_;
-    std::string piece_;
-    bool headTold_ = false;
-    bool completeTold_ = false;
+    std::string pendingBody_;
+    bool headDelivered_ = false;
+    bool completeDelivered_ = false;
     bool failed_ = false;
-    /// The owner is gone; it must not be told anything any more.
-    bool dropped_ = false;
+    /// The reader is destroyed, so no callback may be called.
+    bool destroyed_ = false;
 };
 
-ResponseReader::ResponseReader(ResponseEvents events, bool noBody)
-    : private_(std::make_shared<Private>(std::move(events), noBody))
+ResponseReader::ResponseReader(ResponseEvents events, bool isHead)
+    : private_(std::make_shared<Private>(std::move(events), isHead))
 { }
 
 ResponseReader::~ResponseReader()
 {
-    private_->dropped_ = true;
+    private_->destroyed_ = true;
 }
 
 void ResponseReader::feed(std::string_view bytes)
 {
-    // The owner may go in one of the events; the state must outlive them.
+    // A callback may destroy the reader; the state must outlive the callback.
     const std::shared_ptr<Private> state = private_;
     state->input_.append(bytes);
     state->parse();
@@ -294,7 +298,7 @@
         state->fail("the connection ended in the middle of the answer");
         return;
     }
-    state->tell();
+    state->deliverEvents();
 }
 
 bool ResponseReader::complete() const
@@ -302,7 +306,7 @@
     return private_->parser_.is_done();
 }
 
-const std::string &ResponseReader::surplus() const
+const std::string &ResponseReader::trailingBytes() const
 {
     return private_->input_;
 }
--- a/Source/Connection/HttpReader.h
+++ b/Source/Connection/HttpReader.h
@@ -11,17 +11,17 @@
 
 namespace wisteria {
 
-/// Bounds of what a caller may send.
+/// Size limits of a request.
 struct HttpLimits
 {
     std::size_t headerBytes = 16384;
     std::size_t bodyBytes = 4194304;
 };
 
-/// Why a request can't be read, as the status to answer with.
+/// Why a request can't be read. Each value other than None maps to an HTTP status.
 enum class RequestFault { None, Malformed, HeaderTooLarge, BodyTooLarge };
 
-/// Reads the requests of one connection, one after the other.
+/// Parses the requests of one connection in order.
 class RequestReader
 {
 public:
@@ -30,19 +30,21 @@
     RequestReader(const RequestReader &) = delete;
     RequestReader &operator=(const RequestReader &) = delete;
 
-    /// Takes bytes in. Reads no further than the end of one request.
+    /// Appends bytes and parses up to the end of the current request; later bytes stay buffered.
     void feed(std::string_view bytes);
 
-    /// Whether a whole request is there; take() then hands it out and goes on to the next.
+    /// Whether a complete request has been read.
     bool complete() const;
-    HttpRequest take();
+    /// Moves the complete request out and starts to parse the next one. Requires complete().
+    HttpRequest takeRequest();
 
     RequestFault fault() const;
-    /// Whether the head is there and the body is not, and the caller waits to be told to go on.
+    /// Whether the head has been read, the body is incomplete and the caller waits for
+    /// status 100 (Continue). Returns true at most once a request.
     bool expectsContinue();
-    /// Whether any byte of an unfinished request is there.
-    bool begun() const;
-    /// Bytes held.
+    /// Whether at least one byte of the current request has been received.
+    bool requestStarted() const;
+    /// Number of buffered bytes: unparsed input and the body read so far.
     std::size_t buffered() const;
 
 private:
@@ -50,7 +52,7 @@
     std::unique_ptr<Private> private_;
 };
 
-/// What a response reader tells. Any of them may destroy the reader's owner.
+/// Callbacks of a response reader. Each may destroy the reader.
 struct ResponseEvents
 {
     std::function<void(HttpResponseHead)> head;
@@ -59,23 +61,25 @@
     std::function<void(std::string)> malformed;
 };
 
-/// Reads one response.
+/// Parses one response.
 class ResponseReader
 {
 public:
-    /// @param noBody The request was a HEAD, so that no body follows whatever the head says.
-    ResponseReader(ResponseEvents events, bool noBody);
+    /// @param isHead Whether the request was a HEAD. Its response has no body, also when it has a
+    /// Content-Length.
+    ResponseReader(ResponseEvents events, bool isHead);
     ~ResponseReader();
     ResponseReader(const ResponseReader &) = delete;
     ResponseReader &operator=(const ResponseReader &) = delete;
 
     void feed(std::string_view bytes);
-    /// The connection was closed in order; completes a response that has no other end.
+    /// The peer closed the connection (FIN). Completes a response that has neither Content-Length
+    /// nor chunks, and reports any other unfinished response as malformed.
     void feedEnd();
 
     bool complete() const;
-    /// Bytes that came after the response; they belong to nobody that asked.
-    const std::string &surplus() const;
+    /// Bytes after the end of the response. They answer no request.
+    const std::string &trailingBytes() const;
 
 private:
     class Private;
--- a/Source/Connection/ListenAddress.h
+++ b/Source/Connection/ListenAddress.h
@@ -10,13 +10,13 @@
 
 namespace wisteria {
 
-/// "127.0.0.1:7001" for an address.
+/// Formats an address as "127.0.0.1:7001".
 inline std::string addressText(const ACE_INET_Addr &address)
 {
     return std::string(address.get_host_addr()) + ":" + std::to_string(address.get_port_number());
 }
 
-/// The error of a listening address that can't be had; reads errno.
+/// The error for an address on which listening failed. Reads errno.
 inline auto listenFailure(const std::string &address)
 {
     return failure(ErrorKind::BadSettings,
--- a/Source/Connection/LogClient.h
+++ b/Source/Connection/LogClient.h
@@ -8,25 +8,25 @@
 
 namespace wisteria {
 
-/// The platform's append-only log service, as narrow as the project needs it. Calls block and
-/// belong on a control thread.
+/// The platform's append-only log service, reduced to the operations that are used. Calls block, so
+/// they must not run on an event loop's thread.
 class LogClient
 {
 public:
     virtual ~LogClient() = default;
 
     /// Appends one record.
-    /// @return Its offset; Unavailable when it was surely not appended; OutcomeUnknown when the
-    /// answer was lost or late, in which case the record may stand in the log already or later.
+    /// @return Its offset; Unavailable when it was certainly not appended; OutcomeUnknown when the
+    /// answer was lost or late: the record may be in the log already or be appended later.
     virtual Result<Offset> append(const std::string &stream, const std::string &data,
                                   milliseconds timeout) = 0;
 
-    /// Reads records from an offset on, waiting up to `wait` for the first one.
-    /// @return Unavailable or Timeout when the log gives no answer. A batch whose `first` is above
-    /// `from` says that records between were dropped by retention.
+    /// Reads records from an offset on, and waits up to `wait` for the first one.
+    /// @return Unavailable or Timeout when the log doesn't answer. If the batch's `first` is above
+    /// `from`, retention has dropped the records between them.
     virtual Result<LogBatch> read(const std::string &stream, Offset from, milliseconds wait) = 0;
 
-    /// Makes the present and every later call end soon, for shutdown. Any thread may call it.
+    /// Makes the current call and all later ones end soon, for shutdown. Thread-safe.
     virtual void interrupt() { }
 };
 
--- a/Source/Connection/MetricsServer.cpp
+++ b/Source/Connection/MetricsServer.cpp
@@ -34,15 +34,15 @@
 
 Result<std::string> MetricsServer::listen(const std::string &address)
 {
-    const auto wanted = listenAddressFromText(address);
-    if (wanted.has_error()) {
+    const auto endpoint = listenAddressFromText(address);
+    if (endpoint.has_error()) {
         return failure(ErrorKind::BadSettings,
                        "metrics can't be served on '" + address
                            + "'; give an IP number of this VM and a port, or port 0");
     }
-    BOOST_OUTCOME_TRY(used, private_->listener_.listen(wanted.value()));
+    BOOST_OUTCOME_TRY(bound, private_->listener_.listen(endpoint.value()));
     private_->thread_ = std::thread([this] { private_->loop_.run(); });
-    return toText(used);
+    return toText(bound);
 }
 
 StatusAnswer answerScraper(const HttpRequest &request, const std::function<std::string()> &text)
--- a/Source/Connection/MetricsServer.h
+++ b/Source/Connection/MetricsServer.h
@@ -11,25 +11,27 @@
 /// Path on which metrics are served.
 inline constexpr const char *metricsPath = "/metrics";
 
-/// The answer to a scraper: the text for GET of the metrics' path, 404 for anything else.
+/// Answers a scraper: the metrics for GET of metricsPath, 404 for any other request.
 StatusAnswer answerScraper(const HttpRequest &request, const std::function<std::string()> &text);
 
-/// Serves a process' metrics from a thread of its own.
+/// Serves the metrics of a process from a separate thread.
 ///
-/// For processes without a loop that is theirs alone. The metrics library's own server is not used:
-/// it overflows its threads' stacks under the address sanitizer.
+/// For processes without an event loop that can serve them. The metrics library's built-in server
+/// is not used: it overflows its threads' stacks under the address sanitizer.
 class MetricsServer
 {
 public:
-    /// @param text Gives the metrics in Prometheus' text format; called by the server's thread.
+    /// @param text Returns the metrics in Prometheus text format. Called on the server's thread.
     explicit MetricsServer(std::function<std::string()> text);
     ~MetricsServer();
     MetricsServer(const MetricsServer &) = delete;
     MetricsServer &operator=(const MetricsServer &) = delete;
 
-    /// Starts to serve.
-    /// @param address An IP number of this VM and a port; port 0 takes a free one.
-    /// @return The address with the port in use; BadSettings when it can't be had.
+    /// Starts serving.
+    /// @param address An IP address of this VM and a port; for port 0 the kernel chooses a free
+    /// one.
+    /// @return The bound address with its port; BadSettings when the address is malformed or
+    /// listening fails.
     Result<std::string> listen(const std::string &address);
 
 private:
--- a/Source/Connection/PeerCall.h
+++ b/Source/Connection/PeerCall.h
@@ -11,7 +11,8 @@
 
 namespace wisteria {
 
-/// Sends one message to a peer and hands on its one answer, or nothing when none came whole.
+/// Sends a message to a peer. `answered` receives the reply, or nothing when no complete and valid
+/// reply was received.
 template <typename Reply>
 void callPeer(PeerClient &client, const std::string &path,
               const google::protobuf::MessageLite &message,
--- a/Source/Connection/PeerClient.cpp
+++ b/Source/Connection/PeerClient.cpp
@@ -21,7 +21,8 @@
 
 namespace {
 
-/// The connection's own window is wide: only the windows of single streams hold a peer back.
+/// Flow control window of the whole connection. It is large, so that only the windows of streams
+/// limit a peer.
 constexpr std::int32_t connectionWindowBytes = 16 * 1024 * 1024;
 
 struct Stream
@@ -30,13 +31,13 @@
     std::string request;
     std::size_t requestSent = 0;
     FrameReader reader;
-    bool reached = false;
+    bool headersSent = false;
     bool refusedUnprocessed = false;
-    bool broken = false;
-    bool ended = false;
+    bool malformed = false;
+    bool endReceived = false;
     bool paused = false;
-    /// Bytes received while paused, for which the peer's window was not reopened.
-    std::size_t unconsumed = 0;
+    /// Number of bytes received while paused, for which no window update was sent.
+    std::size_t unconsumedBytes = 0;
 };
 
 } // namespace
@@ -102,7 +103,7 @@
         stream->paused = paused;
         if (paused)
             return;
-        nghttp2_session_consume_stream(session_, id, std::exchange(stream->unconsumed, 0));
+        nghttp2_session_consume_stream(session_, id, std::exchange(stream->unconsumedBytes, 0));
         if (link_)
             link_->flushSoon();
     }
@@ -142,7 +143,7 @@
         createSession();
         connecting_ = true;
         loop_.watch(socket_.get_handle(), Interest{.write = true},
-                    [this](Interest) { connectionDecided(); });
+                    [this](Interest) { onConnectResult(); });
         timer_ = loop_.runAfter(timeouts_.connect, [this] { connectionFailed(); });
         return boost::outcome_v2::success();
     }
@@ -168,7 +169,7 @@
                                               connectionWindowBytes);
     }
 
-    void connectionDecided()
+    void onConnectResult()
     {
         int error = 0;
         socklen_t length = sizeof(error);
@@ -183,7 +184,7 @@
         link_ = std::make_unique<Http2Link>(loop_, session_, socket_.get_handle(),
                                             [this] { connectionLost(); });
         socket_.set_handle(ACE_INVALID_HANDLE);
-        scheduleSilenceCheck();
+        scheduleKeepalive();
     }
 
     void connectionFailed()
@@ -206,38 +207,40 @@
         endAllStreams();
     }
 
-    /// Streams without an end get one; those whose request never left say so.
+    /// Reports all open streams as incomplete, and those whose request was not sent also as not
+    /// received by the peer.
     void endAllStreams()
     {
         std::unordered_map<StreamId, std::unique_ptr<Stream>> streams;
         streams.swap(streams_);
         for (auto &[id, stream] : streams)
-            report(*stream, false);
+            reportEnd(*stream, false);
     }
 
-    static void report(Stream &stream, bool complete)
+    static void reportEnd(Stream &stream, bool complete)
     {
         if (!stream.handler)
             return;
         const auto handler = std::exchange(stream.handler, nullptr);
-        const bool reached = stream.reached && !stream.refusedUnprocessed;
-        handler->streamClosed({.complete = complete && !stream.broken, .mayHaveReached = reached});
+        const bool mayHaveReached = stream.headersSent && !stream.refusedUnprocessed;
+        handler->streamClosed(
+            {.complete = complete && !stream.malformed, .mayHaveReached = mayHaveReached});
     }
 
-    /// A frozen peer (stopped process, lost host) keeps the connection open and acknowledges bytes
-    /// in its kernel; only the missing answer to a PING shows it. Without this check a caller would
-    /// wait until its deadline.
-    void scheduleSilenceCheck()
+    /// The connection to a frozen peer (stopped process, lost host) stays open, and the kernel of a
+    /// stopped process still acknowledges bytes. Only a missing answer to a PING reveals the
+    /// failure. Without this check a caller would wait until its deadline.
+    void scheduleKeepalive()
     {
         timer_ = loop_.runAfter(timeouts_.ping, [this] {
-            const auto silent = monotonicNow() - link_->lastHeard();
+            const auto silent = monotonicNow() - link_->lastReceivedAt();
             if (silent >= timeouts_.silence && !streams_.empty())
                 return connectionLost();
             if (silent >= timeouts_.ping && !streams_.empty()) {
                 nghttp2_submit_ping(session_, NGHTTP2_FLAG_NONE, nullptr);
                 link_->flushSoon();
             }
-            scheduleSilenceCheck();
+            scheduleKeepalive();
         });
     }
 
@@ -268,17 +271,17 @@
     {
         nghttp2_session_consume_connection(session, length);
         Stream *stream = static_cast<Private *>(self)->find(id);
-        if (!stream || !stream->handler || stream->broken)
+        if (!stream || !stream->handler || stream->malformed)
             return 0;
         if (stream->paused)
-            stream->unconsumed += length;
+            stream->unconsumedBytes += length;
         else
             nghttp2_session_consume_stream(session, id, length);
         stream->reader.feed({reinterpret_cast<const char *>(data), length});
         while (stream->handler) {
             auto frame = stream->reader.next();
             if (frame.has_error()) {
-                stream->broken = true;
+                stream->malformed = true;
                 nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, id, NGHTTP2_PROTOCOL_ERROR);
                 return 0;
             }
@@ -293,18 +296,18 @@
     static int onFrame(nghttp2_session *, const nghttp2_frame *frame, void *self)
     {
         if (frame->hd.type == NGHTTP2_GOAWAY)
-            static_cast<Private *>(self)->refuseAbove(frame->goaway.last_stream_id);
+            static_cast<Private *>(self)->markUnprocessedAbove(frame->goaway.last_stream_id);
         Stream *stream = static_cast<Private *>(self)->find(frame->hd.stream_id);
         if (stream && (frame->hd.flags & NGHTTP2_FLAG_END_STREAM))
-            stream->ended = true;
+            stream->endReceived = true;
         if (stream && frame->hd.type == NGHTTP2_RST_STREAM
             && frame->rst_stream.error_code == NGHTTP2_REFUSED_STREAM)
             stream->refusedUnprocessed = true;
         return 0;
     }
 
-    /// A peer that shuts down names the last stream it has taken up; later ones it never saw.
-    void refuseAbove(StreamId lastProcessed)
+    /// The GOAWAY of a peer names the last stream that it processes; later ones are unprocessed.
+    void markUnprocessedAbove(StreamId lastProcessed)
     {
         for (auto &[id, stream] : streams_) {
             if (id > lastProcessed)
@@ -316,7 +319,7 @@
     {
         Stream *stream = static_cast<Private *>(self)->find(frame->hd.stream_id);
         if (stream && frame->hd.type == NGHTTP2_HEADERS)
-            stream->reached = true;
+            stream->headersSent = true;
         return 0;
     }
 
@@ -340,7 +343,7 @@
             return;
         const std::unique_ptr<Stream> stream = std::move(found->second);
         streams_.erase(found);
-        report(*stream, clean && stream->ended && !stream->reader.hasPartialFrame());
+        reportEnd(*stream, clean && stream->endReceived && !stream->reader.hasPartialFrame());
     }
 
     EventLoop &loop_;
--- a/Source/Connection/PeerClient.h
+++ b/Source/Connection/PeerClient.h
@@ -10,26 +10,26 @@
 
 namespace wisteria {
 
-/// How a stream to a peer came to its end.
+/// How a stream to a peer ended.
 struct StreamEnd
 {
-    /// The peer ended its answer itself; false when it was cut.
+    /// The peer sent a complete answer. False when the stream was aborted or the connection lost.
     bool complete = false;
-    /// Bytes of the request may have left this process and not been refused unprocessed. False is
-    /// proof that the peer never saw the request.
+    /// The peer may have processed the request. False is proof that it did not: nothing was sent,
+    /// or the peer refused the stream unprocessed.
     bool mayHaveReached = false;
 };
 
-/// Receives what a peer answers on one stream.
+/// Receives the answer on one stream.
 class PeerStreamHandler
 {
 public:
     virtual ~PeerStreamHandler() = default;
 
-    /// One frame's content, in order.
+    /// Receives the content of each frame, in order.
     virtual void frameReceived(const std::string &content) = 0;
 
-    /// Called once, last.
+    /// Called once, as the last callback. Not called after cancel().
     virtual void streamClosed(const StreamEnd &end) = 0;
 };
 
@@ -37,17 +37,17 @@
 struct PeerTimeouts
 {
     milliseconds connect{500};
-    /// Silence after which the peer is asked for a sign of life (HTTP/2 PING).
+    /// Time without received bytes after which a keepalive (HTTP/2 PING) is sent.
     milliseconds ping{1000};
-    /// Silence after which the connection is given up: the peer is frozen or cut off, which the
-    /// socket alone would not show.
+    /// Time without received bytes after which the connection is closed: the peer is frozen or
+    /// unreachable, which the socket doesn't report.
     milliseconds silence{3000};
-    /// Wait after a failed connection before the next try.
+    /// Minimum time between a failed connection attempt and the next one.
     milliseconds backoff{200};
 };
 
-/// One HTTP/2 connection to one peer, made when first needed and remade after it was lost. Belongs
-/// to its loop's thread.
+/// An HTTP/2 connection to one peer, opened on first use and reopened on the next use after it was
+/// lost. Must be used on its loop's thread only.
 class PeerClient
 {
 public:
@@ -60,19 +60,19 @@
     PeerClient &operator=(const PeerClient &) = delete;
 
     /// Opens a stream and sends a request on it.
-    /// @param frames The whole request, as FrameCodec frames it.
-    /// @return Unavailable when the peer is known to be out of reach; the request was not sent.
+    /// @param frames The complete request, encoded by appendFrame().
+    /// @return Unavailable when the stream can't be opened now; the request was not sent.
     Result<StreamId> open(const std::string &path, std::string frames,
                           std::shared_ptr<PeerStreamHandler> handler);
 
-    /// Tells the peer that the answer is not wanted any more. The handler is not called again.
+    /// Resets a stream whose answer is no longer needed. Its handler is not called again.
     void cancel(StreamId stream);
 
-    /// Holds a stream's peer back or lets it go on. While held back, the peer sends at most one
-    /// window (64 KB) more; a slow reader thus slows its own stream and nobody else's.
+    /// Pauses or resumes the flow control of a stream. While it is paused, the peer sends at most
+    /// one window (64 KB) more, so a slow reader slows only its own stream.
     void setPaused(StreamId stream, bool paused);
 
-    /// Streams without an end so far.
+    /// Number of open streams.
     std::size_t openStreams() const;
 
 private:
--- a/Source/Connection/PeerPool.h
+++ b/Source/Connection/PeerPool.h
@@ -9,13 +9,13 @@
 
 namespace wisteria {
 
-/// The connections of one loop to its peers, by address.
+/// The connections of one event loop to its peers, by address.
 class PeerPool
 {
 public:
     PeerPool(EventLoop &loop, PeerTimeouts timeouts) : loop_(loop), timeouts_(timeouts) { }
 
-    /// The connection to a peer; made when first asked for.
+    /// Returns the client for a peer; creates it on first use.
     PeerClient &clientFor(const std::string &address)
     {
         std::unique_ptr<PeerClient> &client = clients_[address];
@@ -24,7 +24,8 @@
         return *client;
     }
 
-    /// Closes connections to peers that are not among those still wanted, once they are idle.
+    /// Closes the idle connections to all peers other than those given. A connection with open
+    /// streams stays open until a later call.
     void keepOnly(const std::set<std::string> &addresses)
     {
         std::erase_if(clients_, [&](const auto &entry) {
--- a/Source/Connection/PeerServer.cpp
+++ b/Source/Connection/PeerServer.cpp
@@ -21,8 +21,8 @@
 
 constexpr std::uint32_t maxConcurrentStreams = 16384;
 constexpr std::int32_t connectionWindowBytes = 64 * 1024 * 1024;
-/// An answer that waits with fewer bytes than this counts as taken.
-constexpr std::size_t drainedBytes = 64 * 1024;
+/// streamDrained() is called when the queue of an answer falls from above this size to it or below.
+constexpr std::size_t lowWatermarkBytes = 64 * 1024;
 constexpr int acceptsPerRound = 64;
 
 struct ServerStream
@@ -33,13 +33,13 @@
     std::string answer;
     std::size_t answerSent = 0;
     bool answering = false;
-    bool answerWhole = false;
+    bool answerComplete = false;
     bool deferred = false;
     bool delivered = false;
-    bool wasFull = false;
+    bool aboveLowWatermark = false;
 };
 
-PeerStreamId streamName(std::uint32_t session, std::int32_t stream)
+PeerStreamId streamIdOf(std::uint32_t session, std::int32_t stream)
 {
     return (static_cast<PeerStreamId>(session) << 32) | static_cast<std::uint32_t>(stream);
 }
@@ -53,21 +53,22 @@
     class Session
     {
     public:
-        Session(Private &server, std::uint32_t name, int descriptor) : server_(server), name_(name)
+        Session(Private &server, std::uint32_t id, int descriptor) : server_(server), sessionId_(id)
         {
             nghttp2_session *session = createSession();
             link_ = std::make_unique<Http2Link>(server.loop_, session, descriptor,
-                                                [this] { server_.sessionClosed(name_); });
+                                                [this] { server_.sessionClosed(sessionId_); });
         }
 
         void reply(std::int32_t id, std::string_view frames, bool last)
         {
             ServerStream *stream = find(id);
-            if (!stream || stream->answerWhole)
+            if (!stream || stream->answerComplete)
                 return;
             stream->answer.append(frames);
-            stream->answerWhole = last;
-            stream->wasFull = stream->answer.size() - stream->answerSent > drainedBytes;
+            stream->answerComplete = last;
+            stream->aboveLowWatermark =
+                stream->answer.size() - stream->answerSent > lowWatermarkBytes;
             if (!stream->answering)
                 startAnswer(id, *stream);
             else if (std::exchange(stream->deferred, false))
@@ -88,7 +89,8 @@
             return stream ? stream->answer.size() - stream->answerSent : 0;
         }
 
-        /// Tells the peer which streams will still be answered; it sends later ones elsewhere.
+        /// Sends a GOAWAY with the last stream that is answered; the peer sends later requests to
+        /// other peers.
         void announceShutdown()
         {
             nghttp2_submit_goaway(link_->session(), NGHTTP2_FLAG_NONE,
@@ -105,7 +107,7 @@
             streams.swap(streams_);
             for (const auto &[id, stream] : streams) {
                 if (stream->delivered)
-                    server_.service_.streamCancelled(streamName(name_, id));
+                    server_.service_.streamCancelled(streamIdOf(sessionId_, id));
             }
         }
 
@@ -160,11 +162,11 @@
             if (stream->answerSent == stream->answer.size()) {
                 stream->answer.clear();
                 stream->answerSent = 0;
-                if (stream->answerWhole)
+                if (stream->answerComplete)
                     *flags |= NGHTTP2_DATA_FLAG_EOF;
             }
             self->noteDrained(id, *stream);
-            if (copied == 0 && !stream->answerWhole) {
+            if (copied == 0 && !stream->answerComplete) {
                 stream->deferred = true;
                 return NGHTTP2_ERR_DEFERRED;
             }
@@ -173,11 +175,12 @@
 
         void noteDrained(std::int32_t id, ServerStream &stream)
         {
-            if (!stream.wasFull || stream.answer.size() - stream.answerSent > drainedBytes)
+            if (!stream.aboveLowWatermark
+                || stream.answer.size() - stream.answerSent > lowWatermarkBytes)
                 return;
-            stream.wasFull = false;
+            stream.aboveLowWatermark = false;
             Private *server = &server_;
-            server_.loop_.defer([server, stream = streamName(name_, id)] {
+            server_.loop_.defer([server, stream = streamIdOf(sessionId_, id)] {
                 server->service_.streamDrained(stream);
             });
         }
@@ -239,7 +242,7 @@
             if (stream->reader.hasPartialFrame())
                 return abort(id);
             stream->delivered = true;
-            server_.service_.requestReceived(streamName(name_, id), stream->path,
+            server_.service_.requestReceived(streamIdOf(sessionId_, id), stream->path,
                                              std::move(stream->frames));
         }
 
@@ -251,13 +254,13 @@
                 return 0;
             const std::unique_ptr<ServerStream> stream = std::move(found->second);
             session->streams_.erase(found);
-            if (stream->delivered && (error != NGHTTP2_NO_ERROR || !stream->answerWhole))
-                session->server_.service_.streamCancelled(streamName(session->name_, id));
+            if (stream->delivered && (error != NGHTTP2_NO_ERROR || !stream->answerComplete))
+                session->server_.service_.streamCancelled(streamIdOf(session->sessionId_, id));
             return 0;
         }
 
         Private &server_;
-        std::uint32_t name_;
+        std::uint32_t sessionId_;
         std::unordered_map<std::int32_t, std::unique_ptr<ServerStream>> streams_;
         std::unique_ptr<Http2Link> link_;
     };
@@ -296,8 +299,8 @@
             peer.enable(ACE_NONBLOCK);
             int enabled = 1;
             peer.set_option(IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof(enabled));
-            const std::uint32_t name = ++lastSession_;
-            sessions_[name] = std::make_unique<Session>(*this, name, peer.get_handle());
+            const std::uint32_t id = ++lastSession_;
+            sessions_[id] = std::make_unique<Session>(*this, id, peer.get_handle());
             peer.set_handle(ACE_INVALID_HANDLE);
         }
     }
@@ -308,9 +311,9 @@
         return found == sessions_.end() ? nullptr : found->second.get();
     }
 
-    void sessionClosed(std::uint32_t name)
+    void sessionClosed(std::uint32_t id)
     {
-        const auto found = sessions_.find(name);
+        const auto found = sessions_.find(id);
         if (found == sessions_.end())
             return;
         const std::unique_ptr<Session> session = std::move(found->second);
@@ -358,14 +361,14 @@
 void PeerServer::beginShutdown()
 {
     private_->stopListening();
-    for (const auto &[name, session] : private_->sessions_)
+    for (const auto &[id, session] : private_->sessions_)
         session->announceShutdown();
 }
 
 std::size_t PeerServer::openStreams() const
 {
     std::size_t open = 0;
-    for (const auto &[name, session] : private_->sessions_)
+    for (const auto &[id, session] : private_->sessions_)
         open += session->openStreams();
     return open;
 }
--- a/Source/Connection/PeerServer.h
+++ b/Source/Connection/PeerServer.h
@@ -11,27 +11,27 @@
 
 namespace wisteria {
 
-/// Name of one stream of a PeerServer; never used twice.
+/// Identifier of one stream of a PeerServer; never reused.
 using PeerStreamId = std::uint64_t;
 
-/// What a PeerServer's streams are answered by. Called on the loop's thread.
+/// Handles the requests of a PeerServer. Called on the loop's thread.
 class PeerService
 {
 public:
     virtual ~PeerService() = default;
 
-    /// A whole request has come.
+    /// A complete request was received.
     virtual void requestReceived(PeerStreamId stream, const std::string &path,
                                  std::vector<std::string> frames) = 0;
 
-    /// The peer has gone or does not want the answer any more.
+    /// The peer reset the stream, or the connection was lost.
     virtual void streamCancelled(PeerStreamId stream) = 0;
 
-    /// An answer that was waiting for the peer has been taken by it.
+    /// The queue of an answer has fallen to the low watermark; more bytes may be sent.
     virtual void streamDrained(PeerStreamId stream) { static_cast<void>(stream); }
 };
 
-/// Takes HTTP/2 connections from other processes of the system.
+/// HTTP/2 server for the system's other processes.
 class PeerServer
 {
 public:
@@ -41,26 +41,27 @@
     PeerServer(const PeerServer &) = delete;
     PeerServer &operator=(const PeerServer &) = delete;
 
-    /// Starts to listen.
-    /// @param address IP number and port; port 0 takes a free one.
-    /// @return The address with the port in use; BadSettings when it can't be had.
+    /// Starts listening.
+    /// @param address IP address and port; for port 0 the kernel chooses a free one.
+    /// @return The bound address with its port; BadSettings when listening fails.
     Result<std::string> listen(const std::string &address);
 
-    /// Sends bytes of an answer. Streams that are gone are ignored: a late answer ends here.
-    /// @param frames Framed by FrameCodec.
-    /// @param last Whether the answer is whole with these bytes.
+    /// Sends bytes of an answer. Drops them when the stream has ended already.
+    /// @param frames Encoded by appendFrame().
+    /// @param last Whether these bytes complete the answer.
     void reply(PeerStreamId stream, std::string_view frames, bool last);
 
-    /// Cuts a stream so that the peer sees its answer as cut.
+    /// Resets a stream, so that the peer sees its answer as incomplete.
     void abort(PeerStreamId stream);
 
-    /// Bytes of an answer that wait for the peer.
+    /// Number of bytes of an answer that are not yet passed to the connection.
     std::size_t queuedBytes(PeerStreamId stream) const;
 
-    /// Takes no new connection or stream and lets the present streams end.
+    /// Stops listening and tells all peers to open no further streams (GOAWAY). Open streams are
+    /// still answered.
     void beginShutdown();
 
-    /// Streams without an end so far.
+    /// Number of open streams.
     std::size_t openStreams() const;
 
 private:
--- a/Source/Connection/PlatformHttp.cpp
+++ b/Source/Connection/PlatformHttp.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// Largest answer that is taken, so that a faulty service can't fill the process's memory.
+/// Maximum size of an answer, so that a faulty service can't exhaust the process's memory.
 constexpr std::size_t maxAnswerBytes = 32 * 1024 * 1024;
 constexpr milliseconds connectTimeout(2000);
 
-std::size_t takeBody(char *data, std::size_t size, std::size_t count, void *userData)
+std::size_t appendBody(char *data, std::size_t size, std::size_t count, void *userData)
 {
     auto &body = *static_cast<std::string *>(userData);
     const std::size_t bytes = size * count;
@@ -54,7 +54,7 @@
         curl_easy_setopt(handle_, CURLOPT_TIMEOUT_MS, std::max(limit, 1L));
         curl_easy_setopt(handle_, CURLOPT_CONNECTTIMEOUT_MS,
                          static_cast<long>(connectTimeout.count()));
-        curl_easy_setopt(handle_, CURLOPT_WRITEFUNCTION, takeBody);
+        curl_easy_setopt(handle_, CURLOPT_WRITEFUNCTION, appendBody);
         curl_easy_setopt(handle_, CURLOPT_NOPROGRESS, 0L);
         curl_easy_setopt(handle_, CURLOPT_XFERINFOFUNCTION, &Private::onProgress);
         curl_easy_setopt(handle_, CURLOPT_XFERINFODATA, this);
@@ -70,7 +70,7 @@
         if (code == CURLE_OK)
             curl_easy_getinfo(handle_, CURLINFO_RESPONSE_CODE, &answer.status);
         else
-            answer.trouble = curl_easy_strerror(code);
+            answer.error = curl_easy_strerror(code);
         transferred_ += transferredNow(requestBytes) + answer.body.size();
         answer.timedOut = code == CURLE_OPERATION_TIMEDOUT;
         answer.neverSent = code != CURLE_OK && requestBytes == 0;
@@ -94,7 +94,7 @@
         return static_cast<std::uint64_t>(requestBytes + headerBytes + sentBytes);
     }
 
-    /// libcurl asks at least once a second whether to go on.
+    /// libcurl calls this at least once a second; a nonzero result aborts the transfer.
     static int onProgress(void *self, curl_off_t, curl_off_t, curl_off_t, curl_off_t)
     {
         return static_cast<Private *>(self)->interrupted_ ? 1 : 0;
@@ -125,10 +125,10 @@
     curl_easy_setopt(handle, CURLOPT_POST, 1L);
     curl_easy_setopt(handle, CURLOPT_POSTFIELDS, data.data());
     curl_easy_setopt(handle, CURLOPT_POSTFIELDSIZE_LARGE, static_cast<curl_off_t>(data.size()));
-    // Failure guarded against: libcurl sends a request once more by itself when a kept
-    // connection turns out to be dead. Should the second connection be refused, the error
-    // would say that nothing was sent though the first one may have been written. On a fresh
-    // connection there is no such second try, so the error tells the truth.
+    // libcurl resends a request when a reused connection turns out to be closed. If the second
+    // connection is refused, the error says that nothing was sent, though the service may have
+    // received the first request. On a fresh connection libcurl doesn't resend, so the error is
+    // correct.
     curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, 1L);
     PlatformAnswer answer = private_->perform();
     curl_slist_free_all(headers);
@@ -152,7 +152,7 @@
 
 std::string describe(const PlatformAnswer &answer)
 {
-    return answer.trouble.empty() ? "status " + std::to_string(answer.status) : answer.trouble;
+    return answer.error.empty() ? "status " + std::to_string(answer.status) : answer.error;
 }
 
 } // namespace wisteria
--- a/Source/Connection/PlatformHttp.h
+++ b/Source/Connection/PlatformHttp.h
@@ -9,25 +9,25 @@
 
 namespace wisteria {
 
-/// What came of one call of a platform service.
+/// Result of one call of a platform service.
 struct PlatformAnswer
 {
-    /// Why there is no answer; empty when there is one.
-    std::string trouble;
+    /// Why no answer was received; empty when one was.
+    std::string error;
     bool timedOut = false;
     /// HTTP status; 0 without an answer.
     long status = 0;
-    /// No byte of the request left, so the service saw nothing of it.
+    /// The call failed before any byte of the request was sent, so the service did not receive it.
     bool neverSent = false;
     std::string body;
 };
 
-/// Blocking HTTP calls of one platform service (libcurl). One thread at a time may call get() and
-/// post().
+/// Blocking HTTP calls of one platform service (libcurl). Only one thread at a time may call get()
+/// and post().
 class PlatformHttp
 {
 public:
-    /// @param url Base of the service, "http://127.0.0.1:9000", without a slash at the end.
+    /// @param url Base URL of the service without a trailing slash, "http://127.0.0.1:9000".
     explicit PlatformHttp(std::string url);
     ~PlatformHttp();
     PlatformHttp(const PlatformHttp &) = delete;
@@ -35,15 +35,15 @@
 
     PlatformAnswer get(const std::string &path, milliseconds timeout);
 
-    /// Sends the data once; never silently again.
+    /// Sends the data once; libcurl doesn't resend it.
     PlatformAnswer post(const std::string &path, const std::string &data, milliseconds timeout);
 
-    /// Makes the present and every later call end within a second. Any thread may call it.
+    /// Makes the current call and all later ones end within a second. Thread-safe.
     void interrupt();
 
     const std::string &url() const;
 
-    /// Bytes of requests and answers so far, headers included, without those of TCP and IP.
+    /// Bytes of requests and answers so far, with HTTP headers and without TCP and IP headers.
     std::uint64_t transferredBytes() const;
 
 private:
@@ -51,7 +51,7 @@
     std::unique_ptr<Private> private_;
 };
 
-/// "status 500", or why there was no answer.
+/// Returns the status as "status 500", or why no answer was received.
 std::string describe(const PlatformAnswer &answer);
 
 } // namespace wisteria
--- a/Source/Connection/StatusListener.cpp
+++ b/Source/Connection/StatusListener.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-/// Connections that are kept at once. The platform and a few scrapers ask; askers that never close
-/// must not use up the descriptors that callers need, so the oldest connection goes.
-constexpr std::size_t connectionsAtMost = 32;
+/// Maximum number of open connections. Expected clients are the platform and a few scrapers.
+/// Clients that never close a connection must not use up the file descriptors that callers need, so
+/// at the limit the oldest connection is closed.
+constexpr std::size_t maxConnections = 32;
 
 } // namespace
 
@@ -27,12 +28,12 @@
 
 void StatusListener::accept(int descriptor)
 {
-    if (connections_.size() >= connectionsAtMost)
+    if (connections_.size() >= maxConnections)
         end(connections_.begin()->first);
     const std::uint64_t id = ++lastConnection_;
     CallerEvents events{.request = [this, id](const HttpRequest &request) { answer(id, request); },
                         .fault = [this, id](RequestFault) { end(id); },
-                        .left = [this, id] { end(id); },
+                        .closed = [this, id] { end(id); },
                         .drained = [] {}};
     connections_[id] =
         std::make_unique<CallerConnection>(loop_, descriptor, HttpLimits{}, std::move(events));
@@ -43,8 +44,8 @@
     const auto found = connections_.find(id);
     if (found == connections_.end())
         return;
-    const StatusAnswer said = answer_(request);
-    found->second->send(responseText(said.status, said.fields, said.body, request.keepAlive));
+    const StatusAnswer reply = answer_(request);
+    found->second->send(responseText(reply.status, reply.fields, reply.body, request.keepAlive));
     if (request.keepAlive)
         found->second->finishAnswer(monotonicNow());
     else
@@ -56,7 +57,8 @@
     const auto found = connections_.find(id);
     if (found == connections_.end())
         return;
-    // It may be the connection that is calling: it goes at the end of the round.
+    // The connection may be running this callback, so it is destroyed at the end of the loop
+    // iteration.
     std::shared_ptr<CallerConnection> ended = std::move(found->second);
     connections_.erase(found);
     loop_.defer([ended] {});
--- a/Source/Connection/StatusListener.h
+++ b/Source/Connection/StatusListener.h
@@ -10,7 +10,7 @@
 
 namespace wisteria {
 
-/// What the process says of itself.
+/// Answer of a StatusListener.
 struct StatusAnswer
 {
     int status = 200;
@@ -18,8 +18,8 @@
     std::string body{};
 };
 
-/// Answers short questions about the process, such as whether it takes callers, on a port of its
-/// own. Belongs to the thread of its loop.
+/// Answers short HTTP requests about the process, such as whether it is ready, on a separate port.
+/// Must be used on its loop's thread only.
 class StatusListener
 {
 public:
@@ -30,7 +30,8 @@
     StatusListener(const StatusListener &) = delete;
     StatusListener &operator=(const StatusListener &) = delete;
 
-    /// @return The address with the port in use; BadSettings when it can't be had.
+    /// Starts listening.
+    /// @return The bound address with its port; BadSettings when listening fails.
     Result<Endpoint> listen(const Endpoint &address);
 
 private:
@@ -41,7 +42,7 @@
     EventLoop &loop_;
     Answer answer_;
     TcpListener listener_;
-    /// By number, the oldest first.
+    /// By connection number, oldest first.
     std::map<std::uint64_t, std::unique_ptr<CallerConnection>> connections_;
     std::uint64_t lastConnection_ = 0;
 };
--- a/Source/Connection/TcpConnection.cpp
+++ b/Source/Connection/TcpConnection.cpp
@@ -14,16 +14,19 @@
 
 namespace {
 
-/// Bytes read at once. A stream's events are a few hundred bytes, so one read takes what is there.
-constexpr std::size_t readBytes = 16384;
-/// Sent bytes that stay unacknowledged for this long end the connection. Without it a connection
-/// to a VM that lost power hangs until the kernel's own timeout of many minutes. Towards servers it
-/// is five times the wait before a lost packet is sent again: a kept connection that fell silent
-/// must not take a request with it for as long as its caller waits.
-constexpr milliseconds callerUnacknowledged{4000};
-constexpr milliseconds serverUnacknowledged{1000};
-/// Connections that wait to be accepted. When it is full the opening packet is dropped and sent
-/// again after a second, which a caller sees as a second of delay.
+/// Size of the read buffer in bytes. An event of a stream has a few hundred bytes, so one read
+/// usually returns all available bytes.
+constexpr std::size_t readBufferBytes = 16384;
+/// TCP_USER_TIMEOUT: the connection ends when sent bytes stay unacknowledged for this long. Without
+/// it a connection to a VM that lost power hangs until the kernel's default timeout of many
+/// minutes. The value for servers is five times the wait before a lost packet is retransmitted: a
+/// request sent on an idle connection whose peer is gone must fail well before its caller's
+/// timeout.
+constexpr milliseconds callerUserTimeout{4000};
+constexpr milliseconds serverUserTimeout{1000};
+/// Maximum number of connections that wait to be accepted. When the backlog is full, the kernel
+/// drops the SYN and the caller retransmits it after one second, which delays its request by that
+/// time.
 constexpr int acceptBacklog = 1024;
 
 ACE_INET_Addr toAce(const Endpoint &endpoint)
@@ -31,12 +34,12 @@
     return ACE_INET_Addr(endpoint.port, endpoint.ip);
 }
 
-void setOptions(ACE_SOCK_Stream &stream, milliseconds unacknowledged)
+void setOptions(ACE_SOCK_Stream &stream, milliseconds userTimeout)
 {
     stream.enable(ACE_NONBLOCK);
     int noDelay = 1;
     stream.set_option(IPPROTO_TCP, TCP_NODELAY, &noDelay, sizeof(noDelay));
-    unsigned int timeout = static_cast<unsigned int>(unacknowledged.count());
+    unsigned int timeout = static_cast<unsigned int>(userTimeout.count());
     stream.set_option(IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof(timeout));
 }
 
@@ -54,18 +57,18 @@
         const ACE_INET_Addr address = toAce(to);
         const int result = connector.connect(stream_, address, &ACE_Time_Value::zero);
         if (result == -1 && errno != EWOULDBLOCK && errno != EINPROGRESS && errno != ETIME) {
-            // The owner does not hold the connection yet, so it hears of it after this call.
+            // The owner doesn't hold the connection yet, so the callback runs after this call.
             loop_.defer([self = shared_from_this()] { self->end(TcpEnd::Refused); });
             return;
         }
-        setOptions(stream_, serverUnacknowledged);
+        setOptions(stream_, serverUserTimeout);
         watch();
     }
 
     void adopt(int descriptor)
     {
         stream_.set_handle(descriptor);
-        setOptions(stream_, callerUnacknowledged);
+        setOptions(stream_, callerUserTimeout);
         watch();
     }
 
@@ -114,7 +117,7 @@
 
     void read()
     {
-        static thread_local std::array<char, readBytes> buffer;
+        static thread_local std::array<char, readBufferBytes> buffer;
         const ssize_t count = stream_.recv(buffer.data(), buffer.size());
         if (count > 0) {
             events_.received(std::string_view(buffer.data(), static_cast<std::size_t>(count)));
@@ -136,7 +139,7 @@
             const ssize_t count = stream_.send(bytes.data(), bytes.size());
             if (count > 0)
                 bytes.remove_prefix(static_cast<std::size_t>(count));
-            // A broken connection shows when it is read; what could not be sent is dropped then.
+            // An error is handled by the next read; bytes that could not be sent are dropped then.
         }
         if (bytes.empty())
             return;
@@ -164,22 +167,22 @@
             events_.drained();
     }
 
-    void end(TcpEnd how)
+    void end(TcpEnd reason)
     {
         if (!open_)
             return;
         close();
-        // The owner may destroy the connection, and with it this function, while it runs.
+        // The callback may destroy the connection and `events_`, so a copy is called.
         const auto ended = events_.ended;
         if (ended)
-            ended(how);
+            ended(reason);
     }
 
     void abort()
     {
         constexpr int lingerOn = 1;
-        constexpr int noTime = 0;
-        linger reset{lingerOn, noTime};
+        constexpr int lingerSeconds = 0;
+        linger reset{lingerOn, lingerSeconds};
         stream_.set_option(SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
         close();
     }
@@ -211,7 +214,7 @@
 
 TcpConnection::~TcpConnection()
 {
-    // A connection that closes once its queue is out lives on without its owner.
+    // After closeWhenDrained() the connection stays open until its queue is empty.
     if (!private_->closing_)
         private_->close();
     private_->events_.ended = nullptr;
--- a/Source/Connection/TcpConnection.h
+++ b/Source/Connection/TcpConnection.h
@@ -11,50 +11,51 @@
 
 namespace wisteria {
 
-/// How the other side ended a connection.
+/// Why a connection ended.
 enum class TcpEnd {
-    Closed, ///< It closed in order: everything that it sent has arrived.
+    Closed, ///< The peer closed it (FIN): everything that the peer sent has arrived.
     Reset, ///< It was reset or timed out: bytes may be missing.
-    Refused, ///< It was never set up, so nothing has been sent.
+    Refused, ///< It was never established, so nothing has been sent.
 };
 
-/// What the owner of a connection is told. The owner may destroy the connection in any of them.
+/// Callbacks of a connection. The owner may destroy the connection within any of them.
 struct TcpEvents
 {
     std::function<void()> connected;
     std::function<void(std::string_view)> received;
     std::function<void(TcpEnd)> ended;
-    /// Everything that was queued has gone out.
+    /// All queued bytes have been handed to the kernel.
     std::function<void()> drained;
 };
 
-/// A non-blocking TCP connection on an event loop. Destroying it closes it without another event.
+/// A non-blocking TCP connection on an event loop. The destructor closes the connection, after
+/// closeWhenDrained() once its queue is empty, and calls no further callback.
 class TcpConnection
 {
 public:
-    /// Begins to connect; `connected` or `ended(Refused)` tells the outcome.
+    /// Starts to connect. On success `connected` is called, on failure `ended(Refused)`.
     static std::unique_ptr<TcpConnection> connect(EventLoop &loop, const Endpoint &to,
                                                   TcpEvents events);
-    /// Takes over an accepted descriptor.
+    /// Wraps an accepted descriptor and becomes its owner.
     static std::unique_ptr<TcpConnection> adopt(EventLoop &loop, int descriptor, TcpEvents events);
 
     ~TcpConnection();
     TcpConnection(const TcpConnection &) = delete;
     TcpConnection &operator=(const TcpConnection &) = delete;
 
-    /// Sends, or queues what the other side does not take yet.
+    /// Sends bytes; queues those that the kernel doesn't accept yet.
     void send(std::string_view bytes);
 
-    /// Bytes queued and not yet handed to the kernel.
+    /// Number of queued bytes that are not yet handed to the kernel.
     std::size_t queued() const;
 
-    /// Stops or resumes reading, so that a slow receiver slows its sender down.
+    /// Pauses or resumes reading. While reading is paused, TCP flow control slows the peer down.
     void pauseReading(bool pause);
 
-    /// Closes after the queue has gone out; nothing is read any more.
+    /// Stops reading, and closes the connection when the queue is empty.
     void closeWhenDrained();
 
-    /// Closes with a reset, so that what the other side has not read yet is void.
+    /// Closes with a reset, so that the peer discards what it has not read yet.
     void abort();
 
 private:
@@ -63,7 +64,7 @@
     std::shared_ptr<Private> private_;
 };
 
-/// Listens on an address and hands out accepted descriptors.
+/// Listens on an address and passes accepted descriptors to a callback.
 class TcpListener
 {
 public:
@@ -72,13 +73,13 @@
     TcpListener(const TcpListener &) = delete;
     TcpListener &operator=(const TcpListener &) = delete;
 
-    /// @return BadSettings that names the address when it can't be had.
+    /// @return BadSettings, naming the address, when binding or listening fails.
     Result<void> listen(const Endpoint &address);
 
-    /// The address in use, with the port that was given for port 0.
+    /// The bound address. For port 0 it holds the port that the kernel chose.
     Endpoint address() const;
 
-    /// Stops to listen: connections that come later are refused.
+    /// Stops listening: later connections are refused.
     void close();
 
 private:
--- a/Source/Connection/TimedCalls.cpp
+++ b/Source/Connection/TimedCalls.cpp
@@ -9,7 +9,7 @@
 {
     std::unique_ptr<HttpCall> http;
     HttpResponse response;
-    TimePoint giveUpAt;
+    TimePoint timeoutAt;
     Done done;
 };
 
@@ -20,10 +20,10 @@
 void TimedCalls::start(const Endpoint &to, std::string request, milliseconds timeout, Done done,
                        TimePoint now)
 {
-    const std::uint64_t id = ++last_;
+    const std::uint64_t id = ++lastId_;
     auto call = std::make_unique<Call>();
     Call &state = *call;
-    state.giveUpAt = now + timeout;
+    state.timeoutAt = now + timeout;
     state.done = std::move(done);
     calls_[id] = std::move(call);
     CallEvents events{
@@ -42,12 +42,12 @@
 
 void TimedCalls::checkTimeouts(TimePoint now)
 {
-    std::vector<std::uint64_t> late;
+    std::vector<std::uint64_t> expired;
     for (const auto &[id, call] : calls_) {
-        if (now >= call->giveUpAt)
-            late.push_back(id);
+        if (now >= call->timeoutAt)
+            expired.push_back(id);
     }
-    for (const std::uint64_t id : late)
+    for (const std::uint64_t id : expired)
         end(id, failure(ErrorKind::Timeout, "no answer in time"));
 }
 
--- a/Source/Connection/TimedCalls.h
+++ b/Source/Connection/TimedCalls.h
@@ -11,12 +11,13 @@
 
 namespace wisteria {
 
-/// Calls whose answers are short and wanted whole, each with a timeout.
+/// HTTP calls with a timeout each, whose answers are collected whole. Meant for short answers.
 class TimedCalls
 {
 public:
-    /// Unavailable when the request has not left; OutcomeUnknown when it may have been carried
-    /// out; Timeout likewise, when no answer came in time.
+    /// Receives the answer, or Unavailable when the request was not sent, OutcomeUnknown when the
+    /// connection failed and the request may have run, or Timeout when no answer came in time and
+    /// the request may have run.
     using Done = std::function<void(Result<HttpResponse>)>;
 
     explicit TimedCalls(HttpClientPool &pool);
@@ -27,9 +28,10 @@
     void start(const Endpoint &to, std::string request, milliseconds timeout, Done done,
                TimePoint now);
 
-    /// Ends the calls whose time is over.
+    /// Ends the calls whose timeout has passed.
     void checkTimeouts(TimePoint now);
 
+    /// Number of calls in flight.
     std::size_t open() const { return calls_.size(); }
 
 private:
@@ -38,7 +40,7 @@
 
     HttpClientPool &pool_;
     std::map<std::uint64_t, std::unique_ptr<Call>> calls_;
-    std::uint64_t last_ = 0;
+    std::uint64_t lastId_ = 0;
 };
 
 } // namespace wisteria
--- a/Source/Process/AgentWorker.cpp
+++ b/Source/Process/AgentWorker.cpp
@@ -289,7 +289,7 @@
         if (found == runs_.end())
             return;
         found->second.call.reset();
-        if (end == BackendCallEnd::Cut) {
+        if (end == BackendCallEnd::ConnectionLost) {
             // A broken connection may be the death of the backend server: its health decides,
             // since only a death makes suspects of what ran.
             found->second.cut = true;
--- a/Source/Process/BackendHealth.cpp
+++ b/Source/Process/BackendHealth.cpp
@@ -17,7 +17,7 @@
     case BackendCallEnd::TimedOut:
         return BackendCondition::Stalled;
     case BackendCallEnd::NotConnected:
-    case BackendCallEnd::Cut:
+    case BackendCallEnd::ConnectionLost:
         break;
     }
     return BackendCondition::Dead;
--- a/Source/Programs/Gateway/Session.cpp
+++ b/Source/Programs/Gateway/Session.cpp
@@ -45,7 +45,7 @@
       connection_(context.loop, descriptor, httpLimitsOf(limits_),
                   {.request = [this](HttpRequest request) { startRequest(std::move(request)); },
                    .fault = [this](RequestFault fault) { onFault(fault); },
-                   .left =
+                   .closed =
                        [this] {
                            logEarlyAbandoned();
                            closed_ = true;
@@ -220,7 +220,7 @@
         checkEarly(now);
         return;
     }
-    const bool begun = connection_.requestBegun();
+    const bool begun = connection_.requestStarted();
     const milliseconds limit = begun ? limits_.headerTimeout : limits_.idleTimeout;
     if (now - connection_.waitingSince() < limit)
         return;
--- a/Tests/Connection/BackendClientTest.cpp
+++ b/Tests/Connection/BackendClientTest.cpp
@@ -14,17 +14,17 @@
 
 namespace {
 
-/// Answers its first request whole and closes the connection of every later one without a word.
-class DyingBackend
+/// Answers its first request and closes the connection of every later one without an answer.
+class CrashingBackend
 {
 public:
-    explicit DyingBackend(EventLoop &loop) : loop_(loop)
+    explicit CrashingBackend(EventLoop &loop) : loop_(loop)
     {
         acceptor_.open(ACE_INET_Addr("127.0.0.1:0"), 1);
         loop_.watch(acceptor_.get_handle(), Interest{.read = true}, [this](Interest) { accept(); });
     }
 
-    ~DyingBackend()
+    ~CrashingBackend()
     {
         loop_.unwatch(acceptor_.get_handle());
         acceptor_.close();
@@ -102,19 +102,20 @@
 
 } // namespace
 
-// A door opens twice. The backend server runs the release and dies before it answers; libcurl sees
-// a reused connection close without an answer and sends the request again on a new one.
-TEST_CASE("A call with a key is sent once, also when its connection dies without an answer")
+// Failure: a request that is not idempotent runs twice. The backend server runs it and crashes
+// before it answers; libcurl sees a reused connection close without an answer and resends the
+// request on a new one.
+TEST_CASE("A call with a key is sent once, also when its connection is closed without an answer")
 {
-    EventLoop first;
-    DyingBackend backend(first);
-    BackendClient client(first, backend.url());
-    CHECK(callOnce(first, client, "key-1") == BackendCallEnd::Complete);
-    CHECK(callOnce(first, client, "key-2") == BackendCallEnd::Cut);
+    EventLoop loop;
+    CrashingBackend backend(loop);
+    BackendClient client(loop, backend.url());
+    CHECK(callOnce(loop, client, "key-1") == BackendCallEnd::Complete);
+    CHECK(callOnce(loop, client, "key-2") == BackendCallEnd::ConnectionLost);
     CHECK(backend.requests == 2);
 }
 
-TEST_CASE("A call to a backend server that is down was surely not run")
+TEST_CASE("A call to a backend server that is down ends as not connected")
 {
     EventLoop loop;
     BackendClient client(loop, "http://127.0.0.1:1");
--- a/Tests/Connection/Base64Test.cpp
+++ b/Tests/Connection/Base64Test.cpp
@@ -4,7 +4,7 @@
 
 using namespace wisteria;
 
-TEST_CASE("Base64 of RFC 4648 is decoded and damaged text refused")
+TEST_CASE("Base64 text of RFC 4648 is decoded and malformed text is rejected")
 {
     CHECK(decodeBase64("") == "");
     CHECK(decodeBase64("Zg==") == "f");
--- a/Tests/Connection/CallerServerTest.cpp
+++ b/Tests/Connection/CallerServerTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Answers by what the path asks for.
+/// The path of a request selects the answer: complete, streamed or aborted.
 class PathService : public CallerService
 {
 public:
@@ -29,7 +29,7 @@
     void callerLeft(CallerExchange &) override { }
 };
 
-/// A server on a thread of its own.
+/// A server on a separate thread.
 class RunningServer
 {
 public:
@@ -45,7 +45,7 @@
         thread_.join();
     }
 
-    /// Sends raw bytes and gives all that comes until the server closes the connection.
+    /// Sends raw bytes and returns all bytes received until the server closes the connection.
     std::string exchange(const std::string &bytes) const
     {
         ACE_SOCK_Stream stream;
@@ -88,7 +88,7 @@
 
 } // namespace
 
-TEST_CASE("A whole answer has its length and a streamed one its end mark")
+TEST_CASE("A complete answer has a Content-Length and a streamed one ends with the last chunk")
 {
     const RunningServer server;
     const std::string whole = server.exchange(post("/whole", "bolts"));
@@ -100,9 +100,9 @@
     CHECK(contains(streamed, "\r\n0\r\n"));
 }
 
-// Half a quotation would be taken for a whole one: the backend server dies in the middle of its
-// answer, and the connection ends as if nothing had happened.
-TEST_CASE("A cut answer has no end mark")
+// Failure: a caller takes half an answer for a complete one. The backend server crashes in the
+// middle of its answer, and the stream to the caller ends normally.
+TEST_CASE("An aborted answer has no last chunk")
 {
     const RunningServer server;
     const std::string cut = server.exchange(post("/cut", ""));
@@ -110,7 +110,7 @@
     CHECK_FALSE(contains(cut, "\r\n0\r\n"));
 }
 
-TEST_CASE("Bad input is answered with the status that names it, and the server lives on")
+TEST_CASE("Malformed requests are answered with the matching status and the server keeps serving")
 {
     const RunningServer server;
     CHECK(contains(server.exchange(post("/whole", std::string(2000, 'x'))), " 413 "));
@@ -118,7 +118,7 @@
     CHECK(contains(server.exchange(post("/whole", "", longHeader)), " 431 "));
     CHECK(contains(server.exchange(post("/whole", "", "no colon\r\n")), " 400 "));
     CHECK(contains(server.exchange("POST /whole HTTP/1.1\r\nContent-Length: x\r\n\r\n"), " 400 "));
-    // A line that is no request line at all ends the connection without a word.
+    // Without a valid request line the connection is closed without an answer.
     CHECK(server.exchange("NONSENSE\r\n\r\n").empty());
     CHECK(contains(server.exchange(post("/whole", "still here")), "still here"));
 }
--- a/Tests/Connection/FrameCodecTest.cpp
+++ b/Tests/Connection/FrameCodecTest.cpp
@@ -7,7 +7,7 @@
 
 using namespace wisteria;
 
-TEST_CASE("Frames come out as they went in, however the stream is cut")
+TEST_CASE("Frames are decoded unchanged, wherever the stream is split")
 {
     const bool holds = rc::check([](const std::vector<std::string> &bodies) {
         std::string stream;
@@ -35,7 +35,7 @@
     CHECK(holds);
 }
 
-TEST_CASE("A frame that claims too much is an error and is not waited for")
+TEST_CASE("A frame that declares more than the maximum size is an error at once")
 {
     FrameReader reader;
     reader.feed(std::string("\xff\xff\xff\xff", 4));
--- a/Tests/Connection/HttpLogClientTest.cpp
+++ b/Tests/Connection/HttpLogClientTest.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-/// Reads one request on one connection and then does as it was told.
+/// Reads one request on one connection, sends the given answer and closes the connection.
 class OneAnswerServer
 {
 public:
-    /// @param answer Bytes to send before the connection is closed; "hold" sends nothing and keeps
-    /// the connection open until the client gives up.
+    /// @param answer Bytes to send. "hold" sends nothing and keeps the connection open until the
+    /// client closes it.
     explicit OneAnswerServer(std::string answer) : answer_(std::move(answer))
     {
         acceptor_.open(ACE_INET_Addr("127.0.0.1:0"), 1);
@@ -61,7 +61,8 @@
         + "\r\nConnection: close\r\n\r\n" + body;
 }
 
-std::string urlOfNobody()
+/// Returns the URL of a port on which no process listens.
+std::string unusedUrl()
 {
     ACE_SOCK_Acceptor acceptor;
     acceptor.open(ACE_INET_Addr("127.0.0.1:0"), 1);
@@ -73,9 +74,10 @@
 
 } // namespace
 
-// The log's answer to an append is lost, cut or late. Whoever is then told "not written" would
-// write again, or tell an operator that nothing happened, while the record stands in the log.
-TEST_CASE("An append is called not written only with proof")
+// Failure: a record is written twice, or an operator is told that nothing was written, while the
+// record is in the log. The log's answer to the append is lost, incomplete or late, and the client
+// reports "not written".
+TEST_CASE("An append is reported as not written only when that is certain")
 {
     struct Row
     {
@@ -100,7 +102,7 @@
         REQUIRE(result.has_error());
         CHECK(result.error().kind == row.kind);
     }
-    HttpLogClient client(urlOfNobody());
+    HttpLogClient client(unusedUrl());
     const auto refused = client.append("config", "record", milliseconds(500));
     REQUIRE(refused.has_error());
     CHECK(refused.error().kind == ErrorKind::Unavailable);
@@ -108,7 +110,7 @@
     CHECK(HttpLogClient(server.url).append("config", "record", seconds(5)).value() == 7);
 }
 
-TEST_CASE("A read gives records, or an error when the answer is not whole")
+TEST_CASE("A read returns records, or an error when the answer is incomplete or invalid")
 {
     const std::string body = R"({"first":3,"end":8,"records":[{"offset":7,"data":"Zm9v"}]})";
     const OneAnswerServer whole(http("200 OK", body));
--- a/Tests/Connection/PeerTest.cpp
+++ b/Tests/Connection/PeerTest.cpp
@@ -22,7 +22,7 @@
     return out;
 }
 
-/// Answers by what the path asks for.
+/// The path of a request selects the answer: an echo, an aborted echo or none.
 class EchoService : public PeerService
 {
 public:
@@ -47,7 +47,7 @@
     int cancelled = 0;
 };
 
-/// Keeps what came and stops the loop at the end.
+/// Stores the answer and stops the loop at its end.
 class Collector : public PeerStreamHandler
 {
 public:
@@ -73,9 +73,9 @@
     EventLoop &loop_;
 };
 
-struct Pair
+struct ServerFixture
 {
-    Pair() : server(loop, service)
+    ServerFixture() : server(loop, service)
     {
         service.server = &server;
         address = server.listen("127.0.0.1:0").value();
@@ -89,39 +89,40 @@
 
 } // namespace
 
-TEST_CASE("A request larger than a window is answered whole")
+TEST_CASE("A request larger than the flow control window gets a complete answer")
 {
-    Pair pair;
-    PeerClient client(pair.loop, pair.address);
-    const auto collector = std::make_shared<Collector>(pair.loop);
+    ServerFixture fixture;
+    PeerClient client(fixture.loop, fixture.address);
+    const auto collector = std::make_shared<Collector>(fixture.loop);
     const std::string body(300000, 'x');
     REQUIRE(client.open("/echo", framed(body), collector).has_value());
-    pair.loop.run();
+    fixture.loop.run();
     REQUIRE(collector->end.has_value());
     CHECK(collector->end->complete);
     CHECK(collector->body == body);
 }
 
-// A caller would take half an answer for a whole one, if an agent's reset in the middle of a stream
-// looked like its end: the agent aborts after the first bytes, and the entry must see a cut.
-TEST_CASE("A stream that the peer aborts is seen as cut")
+// Failure: a caller takes half an answer for a complete one. An agent resets a stream after the
+// first bytes of the answer, and the entry takes the reset for the regular end.
+TEST_CASE("A stream that the peer aborts ends as incomplete")
 {
-    Pair pair;
-    PeerClient client(pair.loop, pair.address);
-    const auto collector = std::make_shared<Collector>(pair.loop);
+    ServerFixture fixture;
+    PeerClient client(fixture.loop, fixture.address);
+    const auto collector = std::make_shared<Collector>(fixture.loop);
     REQUIRE(client.open("/cut", framed("half"), collector).has_value());
-    pair.loop.run();
+    fixture.loop.run();
     CHECK_FALSE(collector->end->complete);
     CHECK(collector->end->mayHaveReached);
 }
 
-// "Not run" is only true with proof. Nobody listens, so no byte of the request left the process.
-TEST_CASE("A request to a peer that refuses connections surely has not reached it")
+// A request counts as not run only when that is certain. Here no process listens, so no byte of the
+// request is sent.
+TEST_CASE("A request to a peer that refuses connections is reported as not received")
 {
     std::string address;
     {
-        Pair gone;
-        address = gone.address;
+        ServerFixture stopped;
+        address = stopped.address;
     }
     EventLoop loop;
     PeerClient client(loop, address);
@@ -133,9 +134,9 @@
     CHECK(client.open("/echo", framed("x"), collector).error().kind == ErrorKind::Unavailable);
 }
 
-// A caller would wait until its deadline for a frozen agent: the kernel of a stopped process still
-// acknowledges bytes. Here the peer's loop is never run, so nothing answers the PING.
-TEST_CASE("A frozen peer's streams end after the silence limit")
+// Failure: a caller waits for a frozen agent until its deadline, because the kernel of a stopped
+// process still acknowledges bytes. Here the peer's loop doesn't run, so the PING gets no answer.
+TEST_CASE("The streams of a frozen peer end after the silence timeout")
 {
     EventLoop frozenLoop;
     EchoService service;
@@ -155,17 +156,17 @@
 
 TEST_CASE("A cancelled stream is reported to the service and not to its handler")
 {
-    Pair pair;
-    PeerClient client(pair.loop, pair.address);
-    const auto unwanted = std::make_shared<Collector>(pair.loop);
-    const auto stream = client.open("/never", framed("x"), unwanted).value();
-    const auto first = std::make_shared<Collector>(pair.loop);
+    ServerFixture fixture;
+    PeerClient client(fixture.loop, fixture.address);
+    const auto cancelledCollector = std::make_shared<Collector>(fixture.loop);
+    const auto stream = client.open("/never", framed("x"), cancelledCollector).value();
+    const auto first = std::make_shared<Collector>(fixture.loop);
     REQUIRE(client.open("/echo", framed("y"), first).has_value());
-    pair.loop.run();
+    fixture.loop.run();
     client.cancel(stream);
-    EventLoop &loop = pair.loop;
+    EventLoop &loop = fixture.loop;
     const auto second = std::make_shared<Collector>(loop);
     REQUIRE(client.open("/echo", framed("z"), second).has_value());
-    CHECK(pair.service.received == 2);
-    CHECK_FALSE(unwanted->end.has_value());
+    CHECK(fixture.service.received == 2);
+    CHECK_FALSE(cancelledCollector->end.has_value());
 }
--- a/Tests/Fuzz/ConfigFuzzer.cpp
+++ b/Tests/Fuzz/ConfigFuzzer.cpp
@@ -1,5 +1,6 @@
-// Whatever stands in the log or in an operator's file, replay must go on: the version never goes
-// down, a refused record changes nothing, and what was accepted passes the checks.
+// Feeds arbitrary bytes to the replay of the configuration log and to the parser of an operator's
+// file. Replay must continue after any record: the version never decreases, a rejected record
+// changes nothing, and accepted objects pass all checks.
 
 #include <cstdint>
 #include <cstdlib>
@@ -40,7 +41,8 @@
         require(checkObject(object.object()).has_value());
 }
 
-/// A file, applied as wisteriactl and an admin do, twice: the second time there is nothing to do.
+/// Applies a configuration file as wisteriactl and an admin do. Applying it again must yield no
+/// changes.
 void apply(ConfigState &state, const std::string &text)
 {
     const auto file = parseConfigFile(text, "fuzz.json");
--- a/Tests/Fuzz/FramesFuzzer.cpp
+++ b/Tests/Fuzz/FramesFuzzer.cpp
@@ -1,5 +1,5 @@
-// Bytes from a peer, in pieces of any size, must never crash the decoder, and what it takes for a
-// message must come out the same when it is sent on.
+// Feeds arbitrary bytes of a peer, in pieces of any size, to the frame decoder. It must not crash,
+// and a decoded message must stay the same when it is encoded and decoded again.
 
 #include <cstdint>
 #include <cstdlib>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Sends a message and receives it again.
+/// Encodes a message as a frame, decodes it and compares both.
 template <typename Message> void checkRoundTrip(const std::string &content)
 {
     Message message;
@@ -25,10 +25,10 @@
     const auto received = reader.next();
     if (received.has_error() || !received.value() || reader.hasPartialFrame())
         std::abort();
-    Message again;
-    if (!again.ParseFromString(*received.value()))
+    Message decodedAgain;
+    if (!decodedAgain.ParseFromString(*received.value()))
         std::abort();
-    if (again.SerializeAsString() != message.SerializeAsString())
+    if (decodedAgain.SerializeAsString() != message.SerializeAsString())
         std::abort();
 }
 
--- a/Tests/Fuzz/PlatformFuzzer.cpp
+++ b/Tests/Fuzz/PlatformFuzzer.cpp
@@ -1,6 +1,6 @@
-// Bytes of the store, of backend servers, of callers and of other processes must never crash the
-// decoders, whoever wrote them; what is taken for a message must come out the same when it is sent
-// on.
+// Feeds arbitrary bytes to the decoders for input of the store, backend servers, callers and other
+// processes. They must not crash, and a decoded message must stay the same when it is encoded and
+// decoded again.
 
 #include <cstdint>
 #include <cstdlib>
@@ -34,25 +34,25 @@
     (void)platform::parseProcessSettings(text);
 }
 
-void decodeMessageTwice(const std::string &text)
+void checkMessageRoundTrip(const std::string &text)
 {
     const auto message = decodeMessage(text);
     if (message.has_error())
         return;
     const std::string wire = encodeMessage(message.value());
-    const auto again = decodeMessage(wire);
-    if (again.has_error() || encodeMessage(again.value()) != wire)
+    const auto decodedAgain = decodeMessage(wire);
+    if (decodedAgain.has_error() || encodeMessage(decodedAgain.value()) != wire)
         std::abort();
 }
 
-/// Reads requests in two pieces, as they may come from the network.
+/// Reads requests in two pieces, as they may arrive from the network.
 void readRequests(const std::string &text)
 {
     RequestReader reader({.headerBytes = 2048, .bodyBytes = 2048});
     reader.feed(text.substr(0, text.size() / 2));
     reader.feed(text.substr(text.size() / 2));
     for (int i = 0; i < 8 && reader.complete(); ++i)
-        (void)platform::decodeCallerRequest(reader.take());
+        (void)platform::decodeCallerRequest(reader.takeRequest());
 }
 
 void readResponse(const std::string &text)
@@ -74,7 +74,7 @@
 {
     const std::string text(reinterpret_cast<const char *>(data), size);
     decodeAnswers(text);
-    decodeMessageTwice(text);
+    checkMessageRoundTrip(text);
     readRequests(text);
     readResponse(text);
     EventSplitter splitter;
--- a/Tests/Fuzz/SettingsFuzzer.cpp
+++ b/Tests/Fuzz/SettingsFuzzer.cpp
@@ -1,5 +1,5 @@
-// Whatever stands in a settings file, the parser must give either a document that fits the schema
-// or a message that names the file; it must never crash.
+// Feeds arbitrary bytes to the parser of settings files. It must return a document that matches the
+// schema or an error that names the file, and must not crash.
 
 #include <cstdint>
 #include <cstdlib>
--- a/Tests/Gateway/CodecTest.cpp
+++ b/Tests/Gateway/CodecTest.cpp
@@ -167,10 +167,10 @@
             break;
     }
     REQUIRE(reader.complete());
-    REQUIRE(reader.take().body == "abcde");
+    REQUIRE(reader.takeRequest().body == "abcde");
     reader.feed("GET /b HTTP/1.1\r\nHost: h\r\n\r\n");
     REQUIRE(reader.complete());
-    REQUIRE(reader.take().target == "/b");
+    REQUIRE(reader.takeRequest().target == "/b");
 }
 
 TEST_CASE("Connection fields, the API key and a forged organisation are not forwarded")
--- a/Tests/Process/BackendHealthTest.cpp
+++ b/Tests/Process/BackendHealthTest.cpp
@@ -29,5 +29,5 @@
     HealthChecks checks{.underWay = true};
     CHECK(checkEnded(checks, BackendCallEnd::TimedOut) == BackendCondition::Stalled);
     checks.underWay = true;
-    CHECK(checkEnded(checks, BackendCallEnd::Cut) == BackendCondition::Dead);
+    CHECK(checkEnded(checks, BackendCallEnd::ConnectionLost) == BackendCondition::Dead);
 }
