--- a/Source/Connection/BackendClient.cpp
+++ b/Source/Connection/BackendClient.cpp
@@ -75,8 +75,8 @@
         if (!request.key.empty()) {
             addHeader(*call, "Wisteria-Key: " + request.key);
             // libcurl silently resends a request when a reused connection closes without an
-            // answer. The backend server may have run the first one, so a request that is not
-            // idempotent would run twice. libcurl never resends on a fresh connection.
+            // answer. The backend server may have run the first one, and a request with a key may
+            // be one that must not run twice. libcurl never resends on a fresh connection.
             curl_easy_setopt(call->easy, CURLOPT_FRESH_CONNECT, 1L);
         }
         call->body = std::move(request.body);
--- a/Source/Connection/BackendClient.h
+++ b/Source/Connection/BackendClient.h
@@ -66,7 +66,7 @@
     /// Cancels a call and closes its connection. Its handler is not called again.
     void cancel(CallId call);
 
-    /// Pauses or resumes reading an answer, for flow control towards a slow receiver.
+    /// Pauses or resumes reading an answer, so that answers to slow callers don't fill the memory.
     void setPaused(CallId call, bool paused);
 
 private:
--- a/Source/Connection/CallerConnection.h
+++ b/Source/Connection/CallerConnection.h
@@ -21,7 +21,8 @@
     std::function<void()> drained;
 };
 
-/// A caller's connection. Handles one request at a time: the next one only after finishAnswer().
+/// A caller's connection at the gateway, or a client's at a StatusListener. Handles one request at
+/// a time: the next one only after finishAnswer().
 class CallerConnection
 {
 public:
@@ -37,8 +38,8 @@
     /// Closes the connection when all queued bytes have been sent.
     void close();
 
-    /// Closes the connection at once, so that the caller can't take an unfinished answer for a
-    /// complete one.
+    /// Closes the connection without sending the queued bytes and without a TCP reset, so that the
+    /// caller can't take an unfinished answer for a complete one.
     void abort();
 
     std::size_t queued() const { return tcp_ ? tcp_->queued() : 0; }
@@ -53,7 +54,7 @@
     void feed(std::string_view bytes);
     void handleNext();
 
-    /// Reading pauses when more bytes than this are buffered while an answer is being sent
+    /// Reading pauses when more bytes than this are buffered while a request is being handled
     /// (pipelined requests).
     static constexpr std::size_t maxPipelinedBytes = 65536;
 
--- a/Source/Connection/CallerProtocol.h
+++ b/Source/Connection/CallerProtocol.h
@@ -5,7 +5,7 @@
 
 #include "Connection/CallerServer.h"
 #include "Process/Error.h"
-// CallerRequest and Refusal are value types without I/O.
+// Only for the value types CallerRequest and Refusal.
 #include "Request/EntryRequest.h"
 
 namespace wisteria {
@@ -27,7 +27,7 @@
 /// Answer to a request that got none from a backend server. States whether the request was run.
 CallerAnswer renderRefusal(const Refusal &refusal);
 
-/// Answer to a malformed request, which was not run.
+/// Answer to a request that is malformed or names no service. It was not run.
 CallerAnswer renderBadRequest(const Error &error);
 
 /// Name of a reason in answers and metrics, such as "queue_full".
--- a/Source/Connection/CallerServer.cpp
+++ b/Source/Connection/CallerServer.cpp
@@ -20,8 +20,8 @@
 
 constexpr int listenBacklog = 1024;
 constexpr std::size_t streamBlockBytes = 16 * 1024;
-/// callerDrained() is called when the queue of a streamed answer falls from above this size to it
-/// or below.
+/// callerDrained() is called when the queue of a streamed answer shrinks from more than this size
+/// to at most this size.
 constexpr std::size_t lowWatermarkBytes = 16 * 1024;
 /// Interval of the check for idle connections.
 constexpr milliseconds idleCheckInterval(1000);
--- a/Source/Connection/CallerServer.h
+++ b/Source/Connection/CallerServer.h
@@ -75,7 +75,8 @@
     seconds idle{75};
 };
 
-/// HTTP/1.1 server for callers (libmicrohttpd) on an event loop.
+/// HTTP/1.1 server for callers of the entry (libmicrohttpd) on an event loop. The gateway uses
+/// CallerConnection instead.
 class CallerServer
 {
 public:
--- a/Source/Connection/FrameCodec.h
+++ b/Source/Connection/FrameCodec.h
@@ -29,7 +29,7 @@
     Result<std::optional<std::string>> next();
 
     /// Whether unread bytes, such as those of an incomplete frame, are buffered.
-    bool hasPartialFrame() const { return buffer_.size() > consumed_; }
+    bool hasUnreadBytes() const { return buffer_.size() > consumed_; }
 
 private:
     std::string buffer_;
--- a/Source/Connection/HttpClientPool.cpp
+++ b/Source/Connection/HttpClientPool.cpp
@@ -101,8 +101,8 @@
 class PooledCall : public HttpCall
 {
 public:
-    PooledCall(Endpoint to, CallEvents events, bool isHead)
-        : to_(to), events_(std::move(events)), isHead_(isHead)
+    PooledCall(Endpoint to, CallEvents events, bool isHeadRequest)
+        : to_(to), events_(std::move(events)), isHeadRequest_(isHeadRequest)
     {
         startReader();
     }
@@ -115,7 +115,7 @@
         // The answer is no longer needed. After an orderly close a frozen backend server would
         // still read and run the request when it resumes, seconds later; after a reset it does not.
         tcp_->abort();
-        release();
+        closeConnection();
     }
 
     bool sent() const override { return sent_; }
@@ -138,7 +138,7 @@
             send();
     }
 
-    std::function<void(PooledConnection, milliseconds)> returnToPool_;
+    std::function<void(PooledConnection, milliseconds)> storeIdle_;
 
 private:
     void startReader()
@@ -148,7 +148,7 @@
                            .body = [this](std::string_view bytes) { onBody(bytes); },
                            .complete = [this] { onComplete(); },
                            .malformed = [this](std::string reason) { fail(std::move(reason)); }},
-            isHead_);
+            isHeadRequest_);
     }
 
     void send()
@@ -198,19 +198,19 @@
                 reader_->feed(remaining);
             return;
         }
-        const bool reusable = head_.keepAlive && head_.framed && !answerSkipped_
+        const bool reusable = head_.keepAlive && head_.selfDelimited && !answerSkipped_
             && reader_->trailingBytes().empty() && tcp_->queued() == 0 && !*callbacks_->unusable;
         if (reusable)
             returnToPool();
         else
-            release();
+            closeConnection();
         const auto complete = events_.complete;
         complete();
     }
 
     void onEnded(TcpEnd end)
     {
-        if (end == TcpEnd::Refused || !sent_) {
+        if (end == TcpEnd::NotEstablished || !sent_) {
             fail("the connection was refused");
             return;
         }
@@ -227,7 +227,7 @@
     {
         if (!callbacks_)
             return;
-        release();
+        closeConnection();
         const CallFailure failure{!sent_, headReceived_, std::move(reason)};
         const auto failed = events_.failed;
         failed(failure);
@@ -239,11 +239,11 @@
         callbacks_->received = nullptr;
         callbacks_->ended = nullptr;
         const milliseconds idleTimeout = idleTimeoutOf(head_);
-        returnToPool_({std::move(tcp_), std::move(callbacks_)}, idleTimeout);
+        storeIdle_({std::move(tcp_), std::move(callbacks_)}, idleTimeout);
         callbacks_ = nullptr;
     }
 
-    void release()
+    void closeConnection()
     {
         callbacks_->connected = nullptr;
         callbacks_->received = nullptr;
@@ -254,7 +254,7 @@
 
     Endpoint to_;
     CallEvents events_;
-    bool isHead_;
+    bool isHeadRequest_;
     std::unique_ptr<TcpConnection> tcp_;
     std::shared_ptr<ConnectionCallbacks> callbacks_;
     std::unique_ptr<ResponseReader> reader_;
@@ -281,10 +281,10 @@
 std::unique_ptr<HttpCall> HttpClientPool::call(const Endpoint &to, std::string request,
                                                ConnectionUse use, CallEvents events, TimePoint now)
 {
-    const bool isHead = request.starts_with("HEAD ");
-    auto call = std::make_unique<PooledCall>(to, std::move(events), isHead);
-    call->returnToPool_ = [state = private_, to](PooledConnection connection,
-                                                 milliseconds idleTimeout) {
+    const bool isHeadRequest = request.starts_with("HEAD ");
+    auto call = std::make_unique<PooledCall>(to, std::move(events), isHeadRequest);
+    call->storeIdle_ = [state = private_, to](PooledConnection connection,
+                                              milliseconds idleTimeout) {
         if (state->closed_ || idleTimeout <= milliseconds(0))
             return;
         state->idle_[to].push_back({std::move(connection), Clock::now() + idleTimeout});
--- a/Source/Connection/HttpLogClient.cpp
+++ b/Source/Connection/HttpLogClient.cpp
@@ -13,7 +13,7 @@
 
 /// Maximum number of records in one read. Records have a few hundred bytes, so answers stay small.
 constexpr int recordsPerRead = 512;
-/// Added to the time that the service may wait for records to get the timeout of a read.
+/// The timeout of a read is the wait that it asks of the service plus this time.
 constexpr milliseconds readGrace(3000);
 constexpr long httpOk = 200;
 constexpr long httpClientError = 400;
--- a/Source/Connection/HttpMessage.h
+++ b/Source/Connection/HttpMessage.h
@@ -49,7 +49,7 @@
     bool keepAlive = true;
     /// Whether the message itself marks the end of its body. Otherwise the end of the connection
     /// does.
-    bool framed = true;
+    bool selfDelimited = true;
 };
 
 struct HttpResponse
--- a/Source/Connection/HttpReader.cpp
+++ b/Source/Connection/HttpReader.cpp
@@ -202,7 +202,7 @@
 class ResponseReader::Private
 {
 public:
-    Private(ResponseEvents events, bool isHead) : events_(std::move(events))
+    Private(ResponseEvents events, bool isHeadRequest) : events_(std::move(events))
     {
         parser_.onBody_ = [this](string_view bytes) {
             pendingBody_.append(bytes.data(), bytes.size());
@@ -210,7 +210,7 @@
         parser_.header_limit(responseHeaderBytes);
         parser_.body_limit(responseBodyBytes);
         parser_.eager(true);
-        parser_.skip(isHead);
+        parser_.skip(isHeadRequest);
     }
 
     void parse()
@@ -244,7 +244,7 @@
                           .reason = std::move(parser_.reason_),
                           .fields = std::move(parser_.fields_),
                           .keepAlive = parser_.keep_alive(),
-                          .framed = !parser_.need_eof()});
+                          .selfDelimited = !parser_.need_eof()});
         }
         if (destroyed_)
             return;
@@ -270,8 +270,8 @@
     bool destroyed_ = false;
 };
 
-ResponseReader::ResponseReader(ResponseEvents events, bool isHead)
-    : private_(std::make_shared<Private>(std::move(events), isHead))
+ResponseReader::ResponseReader(ResponseEvents events, bool isHeadRequest)
+    : private_(std::make_shared<Private>(std::move(events), isHeadRequest))
 { }
 
 ResponseReader::~ResponseReader()
--- a/Source/Connection/HttpReader.h
+++ b/Source/Connection/HttpReader.h
@@ -65,9 +65,9 @@
 class ResponseReader
 {
 public:
-    /// @param isHead Whether the request was a HEAD. Its response has no body, also when it has a
-    /// Content-Length.
-    ResponseReader(ResponseEvents events, bool isHead);
+    /// @param isHeadRequest Whether the request was a HEAD. Its response has no body, also when it
+    /// has a Content-Length.
+    ResponseReader(ResponseEvents events, bool isHeadRequest);
     ~ResponseReader();
     ResponseReader(const ResponseReader &) = delete;
     ResponseReader &operator=(const ResponseReader &) = delete;
@@ -78,7 +78,7 @@
     void feedEnd();
 
     bool complete() const;
-    /// Bytes after the end of the response. They answer no request.
+    /// Bytes received after the end of the response.
     const std::string &trailingBytes() const;
 
 private:
--- a/Source/Connection/LogClient.h
+++ b/Source/Connection/LogClient.h
@@ -16,8 +16,10 @@
     virtual ~LogClient() = default;
 
     /// Appends one record.
-    /// @return Its offset; Unavailable when it was certainly not appended; OutcomeUnknown when the
-    /// answer was lost or late: the record may be in the log already or be appended later.
+    /// @param stream Name of the log's record stream, such as "config".
+    /// @return Its offset; BadInput when the log rejected the record; Unavailable when it was
+    /// certainly not appended for another reason; OutcomeUnknown when the answer was lost, late or
+    /// invalid: the record may be in the log already or be appended later.
     virtual Result<Offset> append(const std::string &stream, const std::string &data,
                                   milliseconds timeout) = 0;
 
--- a/Source/Connection/PeerClient.cpp
+++ b/Source/Connection/PeerClient.cpp
@@ -227,7 +227,7 @@
             {.complete = complete && !stream.malformed, .mayHaveReached = mayHaveReached});
     }
 
-    /// The connection to a frozen peer (stopped process, lost host) stays open, and the kernel of a
+    /// The connection to a frozen peer (stopped process, failed VM) stays open, and the kernel of a
     /// stopped process still acknowledges bytes. Only a missing answer to a PING reveals the
     /// failure. Without this check a caller would wait until its deadline.
     void scheduleKeepalive()
@@ -343,7 +343,7 @@
             return;
         const std::unique_ptr<Stream> stream = std::move(found->second);
         streams_.erase(found);
-        reportEnd(*stream, clean && stream->endReceived && !stream->reader.hasPartialFrame());
+        reportEnd(*stream, clean && stream->endReceived && !stream->reader.hasUnreadBytes());
     }
 
     EventLoop &loop_;
--- a/Source/Connection/PeerClient.h
+++ b/Source/Connection/PeerClient.h
@@ -37,10 +37,11 @@
 struct PeerTimeouts
 {
     milliseconds connect{500};
-    /// Time without received bytes after which a keepalive (HTTP/2 PING) is sent.
+    /// Time without received bytes after which a keepalive (HTTP/2 PING) is sent while streams are
+    /// open.
     milliseconds ping{1000};
-    /// Time without received bytes after which the connection is closed: the peer is frozen or
-    /// unreachable, which the socket doesn't report.
+    /// Time without received bytes after which a connection with open streams is closed: the peer
+    /// is frozen or unreachable, which the socket doesn't report.
     milliseconds silence{3000};
     /// Minimum time between a failed connection attempt and the next one.
     milliseconds backoff{200};
@@ -53,7 +54,7 @@
 public:
     using StreamId = std::int32_t;
 
-    /// @param address IP number and port, "127.0.0.1:7001".
+    /// @param address IP address and port, "127.0.0.1:7001".
     PeerClient(EventLoop &loop, std::string address, PeerTimeouts timeouts = {});
     ~PeerClient();
     PeerClient(const PeerClient &) = delete;
@@ -68,8 +69,8 @@
     /// Resets a stream whose answer is no longer needed. Its handler is not called again.
     void cancel(StreamId stream);
 
-    /// Pauses or resumes the flow control of a stream. While it is paused, the peer sends at most
-    /// one window (64 KB) more, so a slow reader slows only its own stream.
+    /// Pauses or resumes receiving on a stream by withholding window updates. While it is paused,
+    /// the peer sends at most one window (64 KB) more, so a slow reader slows only its own stream.
     void setPaused(StreamId stream, bool paused);
 
     /// Number of open streams.
--- a/Source/Connection/PeerServer.cpp
+++ b/Source/Connection/PeerServer.cpp
@@ -21,7 +21,8 @@
 
 constexpr std::uint32_t maxConcurrentStreams = 16384;
 constexpr std::int32_t connectionWindowBytes = 64 * 1024 * 1024;
-/// streamDrained() is called when the queue of an answer falls from above this size to it or below.
+/// streamDrained() is called when the queue of an answer shrinks from more than this size to at
+/// most this size.
 constexpr std::size_t lowWatermarkBytes = 64 * 1024;
 constexpr int acceptsPerRound = 64;
 
@@ -239,7 +240,7 @@
             ServerStream *stream = find(id);
             if (!stream)
                 return;
-            if (stream->reader.hasPartialFrame())
+            if (stream->reader.hasUnreadBytes())
                 return abort(id);
             stream->delivered = true;
             server_.service_.requestReceived(streamIdOf(sessionId_, id), stream->path,
--- a/Source/Connection/PeerServer.h
+++ b/Source/Connection/PeerServer.h
@@ -24,7 +24,7 @@
     virtual void requestReceived(PeerStreamId stream, const std::string &path,
                                  std::vector<std::string> frames) = 0;
 
-    /// The peer reset the stream, or the connection was lost.
+    /// The peer or abort() reset the stream, or the connection was lost.
     virtual void streamCancelled(PeerStreamId stream) = 0;
 
     /// The queue of an answer has fallen to the low watermark; more bytes may be sent.
--- a/Source/Connection/TcpConnection.cpp
+++ b/Source/Connection/TcpConnection.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Size of the read buffer in bytes. An event of a stream has a few hundred bytes, so one read
+/// Size of the read buffer in bytes. A server-sent event has a few hundred bytes, so one read
 /// usually returns all available bytes.
 constexpr std::size_t readBufferBytes = 16384;
 /// TCP_USER_TIMEOUT: the connection ends when sent bytes stay unacknowledged for this long. Without
@@ -58,7 +58,7 @@
         const int result = connector.connect(stream_, address, &ACE_Time_Value::zero);
         if (result == -1 && errno != EWOULDBLOCK && errno != EINPROGRESS && errno != ETIME) {
             // The owner doesn't hold the connection yet, so the callback runs after this call.
-            loop_.defer([self = shared_from_this()] { self->end(TcpEnd::Refused); });
+            loop_.defer([self = shared_from_this()] { self->end(TcpEnd::NotEstablished); });
             return;
         }
         setOptions(stream_, serverUserTimeout);
@@ -104,7 +104,7 @@
         int length = sizeof(error);
         stream_.get_option(SOL_SOCKET, SO_ERROR, &error, &length);
         if (error != 0) {
-            end(TcpEnd::Refused);
+            end(TcpEnd::NotEstablished);
             return;
         }
         connecting_ = false;
--- a/Source/Connection/TcpConnection.h
+++ b/Source/Connection/TcpConnection.h
@@ -15,7 +15,7 @@
 enum class TcpEnd {
     Closed, ///< The peer closed it (FIN): everything that the peer sent has arrived.
     Reset, ///< It was reset or timed out: bytes may be missing.
-    Refused, ///< It was never established, so nothing has been sent.
+    NotEstablished, ///< It was never established, so nothing has been sent.
 };
 
 /// Callbacks of a connection. The owner may destroy the connection within any of them.
@@ -28,8 +28,8 @@
     std::function<void()> drained;
 };
 
-/// A non-blocking TCP connection on an event loop. The destructor closes the connection, after
-/// closeWhenDrained() once its queue is empty, and calls no further callback.
+/// A non-blocking TCP connection on an event loop. The destructor closes the connection; after
+/// closeWhenDrained() this waits until the queue is empty. No callback follows.
 class TcpConnection
 {
 public:
--- a/Tests/Connection/CallerServerTest.cpp
+++ b/Tests/Connection/CallerServerTest.cpp
@@ -23,7 +23,7 @@
         exchange->start(200, "text/plain");
         exchange->write("first ");
         exchange->write("second");
-        exchange->finish(path != "/cut");
+        exchange->finish(path != "/aborted");
     }
 
     void callerLeft(CallerExchange &) override { }
@@ -105,12 +105,12 @@
 TEST_CASE("An aborted answer has no last chunk")
 {
     const RunningServer server;
-    const std::string cut = server.exchange(post("/cut", ""));
+    const std::string cut = server.exchange(post("/aborted", ""));
     CHECK(contains(cut, "first second"));
     CHECK_FALSE(contains(cut, "\r\n0\r\n"));
 }
 
-TEST_CASE("Malformed requests are answered with the matching status and the server keeps serving")
+TEST_CASE("Invalid requests get status 400, 413, 431 or a close, and the server keeps serving")
 {
     const RunningServer server;
     CHECK(contains(server.exchange(post("/whole", std::string(2000, 'x'))), " 413 "));
--- a/Tests/Connection/FrameCodecTest.cpp
+++ b/Tests/Connection/FrameCodecTest.cpp
@@ -30,12 +30,12 @@
             }
         }
         RC_ASSERT(received == bodies);
-        RC_ASSERT(!reader.hasPartialFrame());
+        RC_ASSERT(!reader.hasUnreadBytes());
     });
     CHECK(holds);
 }
 
-TEST_CASE("A frame that declares more than the maximum size is an error at once")
+TEST_CASE("A frame that declares more than the maximum size is an error before its content arrives")
 {
     FrameReader reader;
     reader.feed(std::string("\xff\xff\xff\xff", 4));
--- a/Tests/Connection/PeerTest.cpp
+++ b/Tests/Connection/PeerTest.cpp
@@ -34,7 +34,7 @@
         frame.ParseFromString(frames.at(0));
         if (path == "/echo")
             server->reply(stream, framed(frame.body()), true);
-        if (path == "/cut") {
+        if (path == "/aborted") {
             server->reply(stream, framed(frame.body()), false);
             server->abort(stream);
         }
@@ -109,7 +109,7 @@
     ServerFixture fixture;
     PeerClient client(fixture.loop, fixture.address);
     const auto collector = std::make_shared<Collector>(fixture.loop);
-    REQUIRE(client.open("/cut", framed("half"), collector).has_value());
+    REQUIRE(client.open("/aborted", framed("half"), collector).has_value());
     fixture.loop.run();
     CHECK_FALSE(collector->end->complete);
     CHECK(collector->end->mayHaveReached);
@@ -154,7 +154,7 @@
     CHECK(collector->end->mayHaveReached);
 }
 
-TEST_CASE("A cancelled stream is reported to the service and not to its handler")
+TEST_CASE("The handler of a cancelled stream is not called")
 {
     ServerFixture fixture;
     PeerClient client(fixture.loop, fixture.address);
--- a/Tests/Fuzz/FramesFuzzer.cpp
+++ b/Tests/Fuzz/FramesFuzzer.cpp
@@ -23,7 +23,7 @@
     FrameReader reader;
     reader.feed(wire);
     const auto received = reader.next();
-    if (received.has_error() || !received.value() || reader.hasPartialFrame())
+    if (received.has_error() || !received.value() || reader.hasUnreadBytes())
         std::abort();
     Message decodedAgain;
     if (!decodedAgain.ParseFromString(*received.value()))
--- a/Tests/Fuzz/PlatformFuzzer.cpp
+++ b/Tests/Fuzz/PlatformFuzzer.cpp
@@ -1,6 +1,6 @@
-// Feeds arbitrary bytes to the decoders for input of the store, backend servers, callers and other
-// processes. They must not crash, and a decoded message must stay the same when it is encoded and
-// decoded again.
+// Feeds arbitrary bytes to the decoders of data that comes from the store, backend servers, callers
+// and other processes. They must not crash, and a decoded message must stay the same when it is
+// encoded and decoded again.
 
 #include <cstdint>
 #include <cstdlib>
@@ -19,7 +19,7 @@
 
 namespace {
 
-void decodeAnswers(const std::string &text)
+void decodeDocuments(const std::string &text)
 {
     HttpResponse response;
     response.head.status = 200;
@@ -73,7 +73,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     const std::string text(reinterpret_cast<const char *>(data), size);
-    decodeAnswers(text);
+    decodeDocuments(text);
     checkMessageRoundTrip(text);
     readRequests(text);
     readResponse(text);
--- a/Tests/Fuzz/SettingsFuzzer.cpp
+++ b/Tests/Fuzz/SettingsFuzzer.cpp
@@ -1,5 +1,5 @@
-// Feeds arbitrary bytes to the parser of settings files. It must return a document that matches the
-// schema or an error that names the file, and must not crash.
+// Feeds arbitrary bytes to the parser of settings files. It must return a document whose name
+// and listen are strings, as the schema requires, or an error that names the file, and not crash.
 
 #include <cstdint>
 #include <cstdlib>
