--- a/Source/Process/AgentHeartbeats.h
+++ b/Source/Process/AgentHeartbeats.h
@@ -8,26 +8,26 @@
 #include "Connection/PeerPool.h"
 #include "Peer.pb.h"
 #include "Process/EventLoop.h"
-// Whom to ask follows from the routing state.
+// The routing state determines which agents get heartbeats.
 #include "Request/EntryRequest.h"
 
 namespace wisteria {
 
-/// Asks agents for a sign of life from the control loop. Traffic tells more and sooner; heartbeats
-/// are for backend servers that get none, and carry suspects and configuration versions.
+/// Sends heartbeats to agents from the control loop. Frames of requests report load more often;
+/// heartbeats serve backend servers without traffic, and carry suspects and configuration versions.
 class AgentHeartbeats
 {
 public:
-    /// Called with each answer, or with nothing when none came in time.
+    /// Called with each reply, or with nothing if none arrived in time.
     using Answered = std::function<void(const std::string &backendServer,
                                         const std::optional<v1::Heartbeat> &reply)>;
 
-    /// @param state Routing state of the control loop; outlives this object, as all others do.
+    /// @param state Routing state of the control loop; outlives this object, as all references do.
     /// @param describe Makes the heartbeat that is sent.
     AgentHeartbeats(EventLoop &loop, PeerPool &peers, const EntryState &state,
-                    std::function<v1::Heartbeat()> describe, Answered answered);
+                    std::function<v1::Heartbeat()> makeHeartbeat, Answered answered);
 
-    /// Begins; goes on until the loop stops.
+    /// Starts sending; continues until the loop stops.
     void start();
 
 private:
@@ -37,9 +37,9 @@
     EventLoop &loop_;
     PeerPool &peers_;
     const EntryState &state_;
-    std::function<v1::Heartbeat()> describe_;
+    std::function<v1::Heartbeat()> makeHeartbeat_;
     Answered answered_;
-    std::map<std::string, bool> awaited_;
+    std::map<std::string, bool> pending_;
 };
 
 /// Time between two heartbeats to the same agent. Grows with the number of agents, so that the
--- a/Source/Process/AgentPeerCalls.cpp
+++ b/Source/Process/AgentPeerCalls.cpp
@@ -22,7 +22,7 @@
 
 void AgentPeerCalls::start()
 {
-    askHandovers();
+    requestHandovers();
     loop_.runAfter(handoverInterval, [this] { start(); });
 }
 
@@ -32,9 +32,9 @@
     if (path == "/v1/heartbeat")
         return heartbeatReceived(stream, content);
     if (path == "/v1/config")
-        return configAsked(stream, content);
+        return configRequested(stream, content);
     if (path == "/v1/handover")
-        return handoverAsked(stream, content);
+        return handoverRequested(stream, content);
     server_.abort(stream);
 }
 
@@ -84,7 +84,7 @@
                                    });
 }
 
-void AgentPeerCalls::configAsked(PeerStreamId stream, const std::string &content)
+void AgentPeerCalls::configRequested(PeerStreamId stream, const std::string &content)
 {
     v1::ConfigFetch fetch;
     if (!fetch.ParseFromString(content))
@@ -95,23 +95,23 @@
     answer(stream, reply);
 }
 
-void AgentPeerCalls::handoverAsked(PeerStreamId stream, const std::string &content)
+void AgentPeerCalls::handoverRequested(PeerStreamId stream, const std::string &content)
 {
-    v1::KeyHandover question;
-    if (!question.ParseFromString(content))
+    v1::KeyHandover request;
+    if (!request.ParseFromString(content))
         return server_.abort(stream);
-    answer(stream, answerHandover(admission_, question));
+    answer(stream, answerHandover(admission_, request));
 }
 
-void AgentPeerCalls::askHandovers()
+void AgentPeerCalls::requestHandovers()
 {
-    for (const HandoverWanted &wanted : handoversWanted(admission_)) {
-        if (!asked_.insert(wanted.formerOwner).second)
+    for (const HandoverRequest &request : pendingHandovers(admission_)) {
+        if (!pendingHandovers_.insert(request.formerOwner).second)
             continue;
         callPeer<v1::KeyHandoverReply>(
-            peers_.clientFor(wanted.address), "/v1/handover", wanted.message,
-            [this, owner = wanted.formerOwner](const std::optional<v1::KeyHandoverReply> &reply) {
-                asked_.erase(owner);
+            peers_.clientFor(request.address), "/v1/handover", request.message,
+            [this, owner = request.formerOwner](const std::optional<v1::KeyHandoverReply> &reply) {
+                pendingHandovers_.erase(owner);
                 if (reply)
                     handoverAnswered(admission_, owner, *reply, monotonicNow(), wallNow());
             });
--- a/Source/Process/AgentPeerCalls.h
+++ b/Source/Process/AgentPeerCalls.h
@@ -7,21 +7,21 @@
 #include "Connection/PeerPool.h"
 #include "Connection/PeerServer.h"
 #include "Process/AgentWorkerEvents.h"
-// The questions are about the gate's state.
+// The messages read and change the state of admission control.
 #include "Request/AgentAdmission.h"
 
 namespace wisteria {
 
-/// Who an agent is, as it tells its peers.
+/// Identity of an agent as it reports it to its peers.
 struct AgentIdentity
 {
     std::string name;
-    /// Differs between lives of the process.
+    /// Differs between incarnations of the process.
     std::uint64_t incarnation = 0;
 };
 
-/// An agent's control talk with its peers: heartbeats, configuration, handover of keys and the map
-/// switch. Lives on the traffic loop, where the gate is.
+/// An agent's control messages to and from peers: heartbeats, configuration and handover of keys.
+/// Runs on the traffic loop, as admission control does.
 class AgentPeerCalls
 {
 public:
@@ -29,21 +29,21 @@
     AgentPeerCalls(EventLoop &loop, PeerServer &server, AdmissionState &admission,
                    AgentIdentity identity, const AgentWorkerEvents &events);
 
-    /// Begins to ask former homes for their keys; goes on until the loop stops.
+    /// Starts sending handover requests to former owners of keys; continues until the loop stops.
     void start();
 
-    /// Answers one message.
+    /// Answers one message; aborts the stream if it is malformed or its path is unknown.
     void received(PeerStreamId stream, const std::string &path, const std::string &content);
 
-    /// The configuration that peers may fetch.
+    /// Sets the configuration that peers may fetch.
     void setConfiguration(std::shared_ptr<const ConfigState> config);
 
 private:
     void heartbeatReceived(PeerStreamId stream, const std::string &content);
-    void configAsked(PeerStreamId stream, const std::string &content);
-    void handoverAsked(PeerStreamId stream, const std::string &content);
+    void configRequested(PeerStreamId stream, const std::string &content);
+    void handoverRequested(PeerStreamId stream, const std::string &content);
     void fetchConfig(const std::string &address);
-    void askHandovers();
+    void requestHandovers();
     v1::Heartbeat ownHeartbeat(TimePoint now) const;
     void answer(PeerStreamId stream, const google::protobuf::MessageLite &message);
 
@@ -54,7 +54,7 @@
     const AgentWorkerEvents &events_;
     PeerPool peers_;
     std::shared_ptr<const ConfigState> config_;
-    std::set<std::string> asked_;
+    std::set<std::string> pendingHandovers_;
     bool fetching_ = false;
 };
 
--- a/Source/Process/AgentProcess.cpp
+++ b/Source/Process/AgentProcess.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// Lives of an agent are told apart by their start on the wall clock.
+/// An agent's incarnations are distinguished by their start on the wall clock.
 std::uint64_t newIncarnation()
 {
     return static_cast<std::uint64_t>(wallNow().time_since_epoch().count());
@@ -56,7 +56,7 @@
             vms.emplace(settings_.vmsUrl,
                         [this](VmView view) { worker_.noteVms(std::move(view)); });
         std::cout << "ready peer=" << peer << " metrics=" << metrics << std::endl;
-        loggerFor("agent")->info("Standing before {} on {}.", settings_.backendUrl, peer);
+        loggerFor("agent")->info("Serving backend server {} on {}.", settings_.backendUrl, peer);
         loop_.run();
         reader_ = nullptr;
         return boost::outcome_v2::success();
@@ -65,9 +65,9 @@
 private:
     void beginShutdown()
     {
-        if (std::exchange(leaving_, true))
+        if (std::exchange(shuttingDown_, true))
             return;
-        worker_.leave([this] { loop_.post([this] { loop_.stop(); }); });
+        worker_.drain([this] { loop_.post([this] { loop_.stop(); }); });
     }
 
     AgentSettings settings_;
@@ -78,7 +78,7 @@
     HttpLogClient log_;
     ConfigFollower follower_;
     ConfigReader *reader_ = nullptr;
-    bool leaving_ = false;
+    bool shuttingDown_ = false;
     const std::uint64_t incarnation_;
     AgentWorker worker_;
 };
--- a/Source/Process/AgentProcess.h
+++ b/Source/Process/AgentProcess.h
@@ -6,7 +6,8 @@
 
 namespace wisteria {
 
-/// The whole of wisteria-agent: the traffic thread, the control loop and the reader of the log.
+/// The wisteria-agent program, which runs beside a backend server and admits the requests that
+/// entries send to it: the traffic thread, the control loop and the reader of the log.
 class AgentProcess
 {
 public:
@@ -15,9 +16,9 @@
     AgentProcess(const AgentProcess &) = delete;
     AgentProcess &operator=(const AgentProcess &) = delete;
 
-    /// Serves until SIGTERM or SIGINT and then until nothing runs. Prints "ready ..." with the
+    /// Serves until SIGTERM or SIGINT, then drains and returns. Prints "ready ..." with the
     /// addresses on standard output once it serves.
-    /// @return BadSettings when an address can't be had.
+    /// @return BadSettings if it can't listen on an address.
     Result<void> run();
 
 private:
--- a/Source/Process/AgentSettings.h
+++ b/Source/Process/AgentSettings.h
@@ -17,7 +17,7 @@
     std::string metricsListen;
     std::string backendUrl;
     std::string logUrl;
-    /// Platform's list of VMs; empty when there is none.
+    /// URL of the platform's list of VMs; empty if there is none.
     std::string vmsUrl;
     std::string logLevel = "info";
     bool logJson = false;
--- a/Source/Process/AgentWorker.cpp
+++ b/Source/Process/AgentWorker.cpp
@@ -21,10 +21,10 @@
 
 constexpr milliseconds tickInterval(20);
 constexpr milliseconds idleCheck(20);
-/// Bytes that may wait for a slow entry before the backend server is held back.
+/// Bytes that may be queued for a slow entry before reading from the backend server pauses.
 constexpr std::size_t pauseAboveBytes = 256 * 1024;
 
-/// One attempt as the shell holds it.
+/// State of one attempt in the I/O layer.
 struct Run
 {
     v1::RunHead head;
@@ -35,9 +35,9 @@
     std::uint32_t httpStatus = 0;
     std::string contentType;
     std::uint64_t answerBytes = 0;
-    /// The answer so far, while it is small enough to be kept for a repeat.
-    std::optional<std::string> kept = std::string();
-    /// The backend server's connection broke; whether it died is being found out.
+    /// The answer so far, while it is small enough to be stored for a repeat.
+    std::optional<std::string> storableAnswer = std::string();
+    /// The backend server's connection broke; its health check has yet to show whether it died.
     bool cut = false;
 };
 
@@ -61,7 +61,7 @@
             AgentWorkerEvents events)
         : name_(settings.name), metrics_(metrics), events_(std::move(events)),
           server_(loop_, *this), backend_(loop_, settings.backendUrl),
-          health_(loop_, backend_, [this](BackendCondition seen) { conditionSeen(seen); }),
+          health_(loop_, backend_, [this](BackendCondition seen) { applyCondition(seen); }),
           calls_(loop_, server_, admission_, {settings.name, incarnation}, events_),
           logger_(loggerFor("agent"))
     {
@@ -78,7 +78,7 @@
 
     void start()
     {
-        tickLater();
+        scheduleTick();
         health_.start();
         calls_.start();
         thread_ = std::thread([this] { loop_.run(); });
@@ -99,7 +99,7 @@
         if (!runs_.contains(stream))
             return;
         perform(wisteria::streamCancelled(admission_, stream, monotonicNow()));
-        // A run under a key goes on without its entry, so that a repeat finds the answer.
+        // A keyed run continues without its entry, so that a repeat gets the answer.
         const auto run = runs_.find(stream);
         if (run != runs_.end() && !run->second.call)
             runs_.erase(run);
@@ -120,19 +120,19 @@
                      static_cast<double>(config->version));
     }
 
-    /// Former homes on VMs that are gone can run no key any more.
+    /// Counts former owners on VMs that are gone as released: they can run no key any more.
     void noteVms(const VmView &view)
     {
-        for (const HandoverWanted &wanted : handoversWanted(admission_)) {
-            if (isVmGone(view, wanted.vm))
-                vmGone(admission_, wanted.vm, monotonicNow(), wallNow());
+        for (const HandoverRequest &request : pendingHandovers(admission_)) {
+            if (isVmGone(view, request.vm))
+                vmGone(admission_, request.vm, monotonicNow(), wallNow());
         }
     }
 
-    void leave(std::function<void()> idleCallback)
+    void drain(std::function<void()> idleCallback)
     {
-        logger_->info("Leaving: {} streams are open.", server_.openStreams());
-        perform(beginLeaving(admission_, monotonicNow()));
+        logger_->info("Shutting down: {} streams are open.", server_.openStreams());
+        perform(beginDraining(admission_, monotonicNow()));
         server_.beginShutdown();
         waitUntilIdle(std::move(idleCallback));
     }
@@ -145,7 +145,7 @@
     {
         Run run;
         if (!readRun(frames, run))
-            return refuseUnread(stream);
+            return refuseMalformed(stream);
         const TimePoint now = monotonicNow();
         run.deadline = now + milliseconds(run.head.remaining_ms());
         const v1::RunHead head = run.head;
@@ -167,10 +167,9 @@
         return !run.head.request_id().empty() && run.head.body_bytes() == run.body.size();
     }
 
-    void refuseUnread(PeerStreamId stream)
+    void refuseMalformed(PeerStreamId stream)
     {
-        logger_->warn("A peer sent an attempt that can't be read; check that both run matching "
-                      "releases.");
+        logger_->warn("A peer sent a malformed attempt; check that both run matching releases.");
         v1::AgentFrame frame;
         frame.mutable_verdict()->set_kind(v1::VERDICT_KIND_NOT_RUN);
         frame.mutable_verdict()->set_reason(v1::REASON_BAD_REQUEST);
@@ -235,7 +234,7 @@
         runs_.erase(found);
     }
 
-    /// Feeds one call's answer into the worker.
+    /// Passes one call's answer to the worker.
     class AnswerHandler : public BackendCallHandler
     {
     public:
@@ -274,10 +273,10 @@
             return;
         Run &run = found->second;
         run.answerBytes += bytes.size();
-        if (run.kept && run.kept->size() + bytes.size() <= maxStoredAnswerBytes)
-            run.kept->append(bytes);
+        if (run.storableAnswer && run.storableAnswer->size() + bytes.size() <= maxStoredAnswerBytes)
+            run.storableAnswer->append(bytes);
         else
-            run.kept.reset();
+            run.storableAnswer.reset();
         sendChunk(stream, run.head, bytes);
         if (server_.queuedBytes(stream) > pauseAboveBytes)
             backend_.setPaused(*run.call, true);
@@ -290,8 +289,8 @@
             return;
         found->second.call.reset();
         if (end == BackendCallEnd::ConnectionLost) {
-            // A broken connection may be the death of the backend server: its health decides,
-            // since only a death makes suspects of what ran.
+            // The backend server may have died. Its health check decides, since only a death makes
+            // suspects of the requests that ran.
             found->second.cut = true;
             return health_.noteCut();
         }
@@ -309,7 +308,7 @@
         Run &run = found->second;
         BackendResult result{end, run.httpStatus, run.contentType, std::nullopt};
         if (end == BackendEnd::Answered)
-            result.body = run.kept;
+            result.body = run.storableAnswer;
         const bool accepted = run.accepted;
         const AdmissionActions actions = backendEnded(admission_, stream, result, monotonicNow());
         if (accepted) {
@@ -345,7 +344,8 @@
         sendFrame(stream, frame, true);
     }
 
-    /// Every frame says which request and attempt it answers, so that no hop can mistake it.
+    /// Every frame names the request and attempt that it answers, so that each hop can detect a
+    /// misdelivered one.
     v1::AgentFrame frameFor(const v1::RunHead &head) const
     {
         v1::AgentFrame frame;
@@ -363,23 +363,24 @@
         server_.reply(stream, out, last);
     }
 
-    void tickLater()
+    void scheduleTick()
     {
         loop_.runAfter(tickInterval, [this] {
             perform(tick(admission_, monotonicNow(), wallNow()));
-            tickLater();
+            scheduleTick();
         });
     }
 
-    void conditionSeen(BackendCondition condition)
+    void applyCondition(BackendCondition condition)
     {
         const bool died = condition == BackendCondition::Dead;
         const bool stalled = condition == BackendCondition::Stalled;
         if (stalled && !std::exchange(admission_.backendStalled, true))
-            logger_->warn("The backend server is stalled: it gives its health check no answer.");
+            logger_->warn("The backend server is stalled: it does not answer its health check.");
         admission_.backendStalled = stalled;
         if (died && admission_.backendUp)
-            logger_->warn("The backend server died with {} running.", admission_.running.size());
+            logger_->warn("The backend server died with {} requests running.",
+                          admission_.running.size());
         if (condition == BackendCondition::Up && !admission_.backendUp)
             logger_->info("The backend server is up.");
         if (condition != BackendCondition::Stalled)
@@ -454,9 +455,9 @@
     private_->loop().post([this, view = std::move(view)] { private_->noteVms(view); });
 }
 
-void AgentWorker::leave(std::function<void()> idle)
+void AgentWorker::drain(std::function<void()> idle)
 {
-    private_->loop().post([this, idle = std::move(idle)] { private_->leave(idle); });
+    private_->loop().post([this, idle = std::move(idle)] { private_->drain(idle); });
 }
 
 } // namespace wisteria
--- a/Source/Process/AgentWorkerEvents.h
+++ b/Source/Process/AgentWorkerEvents.h
@@ -7,10 +7,10 @@
 
 namespace wisteria {
 
-/// What the worker tells the control thread; called on the worker's thread.
+/// Events that the worker reports to the control thread; called on the worker's thread.
 struct AgentWorkerEvents
 {
-    /// A peer has a newer configuration than the agent.
+    /// A peer sent a newer configuration than the agent's.
     std::function<void(v1::SnapshotRecord)> snapshotOffered;
 };
 
--- a/Source/Process/BudgetExchange.cpp
+++ b/Source/Process/BudgetExchange.cpp
@@ -10,13 +10,13 @@
 BudgetExchange::BudgetExchange(EventLoop &loop, PeerPool &peers, EntryShared &shared,
                                std::string ownName)
     : loop_(loop), peers_(peers), shared_(shared), ownName_(std::move(ownName)),
-      owner_(startBudgetOwner({ownName_}, monotonicNow()))
+      owner_(makeBudgetOwner({ownName_}, monotonicNow()))
 { }
 
 void BudgetExchange::start()
 {
-    askAll();
-    loop_.runAfter(hungryInterval, [this] { start(); });
+    sendDueCalls();
+    loop_.runAfter(urgentGrantInterval, [this] { start(); });
 }
 
 void BudgetExchange::setMembers(const EntryMembers &members, TimePoint now)
@@ -35,7 +35,7 @@
     return answerBudget(owner_, request, now);
 }
 
-void BudgetExchange::askAll()
+void BudgetExchange::sendDueCalls()
 {
     std::vector<BudgetCall> calls;
     {
@@ -43,32 +43,32 @@
         calls = budgetCalls(shared_.limits, monotonicNow());
     }
     for (const BudgetCall &call : calls)
-        ask(call);
+        send(call);
 }
 
-void BudgetExchange::ask(const BudgetCall &call)
+void BudgetExchange::send(const BudgetCall &call)
 {
     const TimePoint sentAt = monotonicNow();
     const std::string organisation = call.request.organisation();
     if (call.owner == ownName_)
-        return take(organisation, answer(call.request, sentAt), sentAt);
+        return receiveGrant(organisation, answer(call.request, sentAt), sentAt);
     const std::string address = memberAddress(members_, call.owner);
-    // Without its owner a budget falls back to the static shares.
+    // Without an owner, the entries use their static shares of the budget.
     if (address.empty())
         return;
     callPeer<v1::BudgetGrant>(
         peers_.clientFor(address), "/v1/grant", call.request,
         [this, organisation, sentAt](const std::optional<v1::BudgetGrant> &grant) {
             if (grant)
-                take(organisation, *grant, sentAt);
+                receiveGrant(organisation, *grant, sentAt);
         });
 }
 
-void BudgetExchange::take(const std::string &organisation, const v1::BudgetGrant &grant,
-                          TimePoint sentAt)
+void BudgetExchange::receiveGrant(const std::string &organisation, const v1::BudgetGrant &grant,
+                                  TimePoint sentAt)
 {
     const std::lock_guard<std::mutex> lock(shared_.mutex);
-    grantArrived(shared_.limits, organisation, grant, sentAt);
+    applyGrant(shared_.limits, organisation, grant, sentAt);
 }
 
 } // namespace wisteria
--- a/Source/Process/BudgetExchange.h
+++ b/Source/Process/BudgetExchange.h
@@ -6,39 +6,40 @@
 #include "Connection/PeerPool.h"
 #include "Peer.pb.h"
 #include "Process/EventLoop.h"
-// Budgets are leased for the requests that the entry admits.
+// Grants of budgets limit the requests that the entry admits.
 #include "Request/BudgetOwner.h"
 #include "Request/EntryState.h"
 #include "Version/EntryMembers.h"
 
 namespace wisteria {
 
-/// Leases parts of organisations' limits between entries, on the control loop: asks the owners of
-/// budgets for grants, and answers for the budgets that this entry owns.
+/// Shares organisations' limits between entries, on the control loop: requests grants from the
+/// owners of budgets, and grants from the budgets that this entry owns.
 class BudgetExchange
 {
 public:
-    /// @param shared The entry's limits, which grants go into; outlives this object, as the loop
-    /// and the peers do.
+    /// @param shared Holds the entry's limits, to which grants are applied; outlives this object,
+    /// as the loop and the peers do.
     BudgetExchange(EventLoop &loop, PeerPool &peers, EntryShared &shared, std::string ownName);
 
-    /// Begins; goes on until the loop stops.
+    /// Starts requesting grants; continues until the loop stops.
     void start();
 
-    /// Takes in who shares the work. A change of owners begins with a pause in which grants of
-    /// former owners run out.
+    /// Sets the entries that serve callers. After a change, this entry grants nothing until the
+    /// grants of former owners have expired.
     void setMembers(const EntryMembers &members, TimePoint now);
 
-    /// Takes declared organisations into force.
+    /// Puts the declared organisations into force.
     void setOrganisations(const std::map<std::string, v1::Organisation> &organisations);
 
-    /// Answers another entry, or this one.
+    /// Answers the request of another entry, or of this one.
     v1::BudgetGrant answer(const v1::BudgetRequest &request, TimePoint now);
 
 private:
-    void askAll();
-    void ask(const BudgetCall &call);
-    void take(const std::string &organisation, const v1::BudgetGrant &grant, TimePoint sentAt);
+    void sendDueCalls();
+    void send(const BudgetCall &call);
+    void receiveGrant(const std::string &organisation, const v1::BudgetGrant &grant,
+                      TimePoint sentAt);
 
     EventLoop &loop_;
     PeerPool &peers_;
--- a/Source/Process/EntryDirectory.cpp
+++ b/Source/Process/EntryDirectory.cpp
@@ -17,11 +17,12 @@
 const char *const entriesStream = "entries";
 constexpr milliseconds readWait(0);
 constexpr milliseconds appendTimeout(1000);
-/// Records that hold at least one of each entry at the largest number of entries planned for.
+/// Number of newest records that contain at least one of each entry, at the largest planned number
+/// of entries.
 constexpr Offset recordsAtStart = 4096;
-/// Beyond every record: a read from there tells the log's end and nothing else.
+/// Beyond every record: a read from there returns only the log's end.
 constexpr Offset beyondEnd = Offset(1) << 62;
-/// How often the stream is read; a new entry counts within this time.
+/// How often the stream is read; the time within which a new entry is noticed.
 constexpr milliseconds readInterval(2000);
 
 } // namespace
@@ -57,7 +58,8 @@
         static_cast<void>(log_.append(entriesStream, self_.SerializeAsString(), appendTimeout));
     }
 
-    /// A lost answer is harmless: the record says the same however often it stands in the log.
+    /// Appends this entry's record if it is due. A lost answer is harmless: duplicate records have
+    /// no effect.
     void announce()
     {
         const TimePoint now = monotonicNow();
@@ -68,7 +70,8 @@
             announcedAt_ = now;
     }
 
-    /// The stream may be long; only its newest records tell who is there.
+    /// Sets the start of reading. The stream may be long, and only its newest records are relevant.
+    /// @return Whether the log answered.
     bool findStart()
     {
         const auto batch = log_.read(entriesStream, beyondEnd, readWait);
@@ -87,11 +90,11 @@
         const auto batch = log_.read(entriesStream, members_.position + 1, readWait);
         if (batch.has_error())
             return;
-        // Records that retention dropped are made up for by each entry's next one.
+        // Records that the log's retention removed are superseded by each entry's next one.
         if (batch.value().first > members_.position + 1)
             members_.position = batch.value().first - 1;
         if (updateMembers(members_, batch.value(), monotonicNow())) {
-            loggerFor("entries")->info("{} entries share the work.", members_.members.size());
+            loggerFor("entries")->info("{} entries serve callers.", members_.members.size());
             changed_(members_);
         }
     }
--- a/Source/Process/EntryDirectory.h
+++ b/Source/Process/EntryDirectory.h
@@ -8,18 +8,18 @@
 
 namespace wisteria {
 
-/// Keeps this entry in the log's list of entries and follows the others, on a thread of its own.
+/// Registers this entry in the log's list of entries and watches the others, on a separate thread.
 class EntryDirectory
 {
 public:
     using Changed = std::function<void(EntryMembers)>;
 
     /// @param logUrl Base of the log service.
-    /// @param self What this entry says of itself.
+    /// @param self This entry's record.
     /// @param changed Called on the directory's thread whenever the set of entries changes.
     EntryDirectory(const std::string &logUrl, v1::EntryMemberRecord self, Changed changed);
 
-    /// Says goodbye, as far as the log takes it at once, and stops.
+    /// Tries once to append a record that this entry is leaving, and stops the thread.
     ~EntryDirectory();
     EntryDirectory(const EntryDirectory &) = delete;
     EntryDirectory &operator=(const EntryDirectory &) = delete;
--- a/Source/Process/EntryProcess.cpp
+++ b/Source/Process/EntryProcess.cpp
@@ -23,7 +23,7 @@
 #include "Process/Metrics.h"
 #include "Process/ShutdownSignal.h"
 #include "Process/VmWatcher.h"
-// The control loop keeps routing state of its own, to know whom to ask for a sign of life.
+// The control loop has a separate routing state, which determines the agents that get heartbeats.
 #include "Request/EntryRequest.h"
 #include "Version/Snapshot.h"
 
@@ -32,7 +32,7 @@
 namespace {
 
 constexpr milliseconds shutdownCheck(20);
-/// Heartbeats fail faster than traffic, so that a frozen agent is noticed within two of them.
+/// Heartbeats time out faster than traffic, so that a frozen agent is detected within two of them.
 constexpr PeerTimeouts heartbeatTimeouts{.connect = milliseconds(500),
                                          .ping = milliseconds(500),
                                          .silence = milliseconds(1500),
@@ -92,8 +92,8 @@
     void streamCancelled(PeerStreamId) override { }
 
 private:
-    /// The first usable configuration opens the doors: a process that has not caught up with the
-    /// log would serve by a configuration that may have been replaced long ago.
+    /// Applies a configuration. The entry listens for callers only after the first one: a process
+    /// that has not caught up with the log could serve by a configuration replaced long ago.
     void configure(const std::shared_ptr<const ConfigState> &config)
     {
         const TimePoint now = monotonicNow();
@@ -107,10 +107,10 @@
         metrics_.set("wisteria_config_version", "Configuration version in force.",
                      static_cast<double>(config->version));
         if (workers_.empty())
-            openDoors(config);
+            startServing(config);
     }
 
-    void openDoors(const std::shared_ptr<const ConfigState> &config)
+    void startServing(const std::shared_ptr<const ConfigState> &config)
     {
         std::string address = settings_.listen;
         for (unsigned i = 0; i < settings_.trafficThreads; ++i) {
@@ -151,7 +151,8 @@
             });
     }
 
-    /// Subsets of backend servers and static shares of limits follow from who shares the work.
+    /// Applies the set of entries: it determines subsets of backend servers and static shares of
+    /// limits.
     void entriesChanged(const EntryMembers &members)
     {
         budgets_.setMembers(members, monotonicNow());
@@ -173,12 +174,13 @@
         if (settings_.vmsUrl.empty())
             return;
         vms_ = std::make_unique<VmWatcher>(settings_.vmsUrl, [this](VmView view) {
-            loop_.post([this, view = std::move(view)] { vmsListed(view); });
+            loop_.post([this, view = std::move(view)] { applyVms(view); });
         });
     }
 
-    /// The list lags, so the agents' own word comes first; the list tells of VMs whose agents died.
-    void vmsListed(const VmView &view)
+    /// Applies the platform's list of VMs. The list lags behind the agents' own reports, but covers
+    /// VMs whose agents died.
+    void applyVms(const VmView &view)
     {
         std::set<std::string> leaving = leavingVms(view);
         for (const std::string &vm : routedVms(state_)) {
@@ -199,7 +201,7 @@
         heartbeat.set_role("entry");
         heartbeat.set_config_version(state_.configVersion);
         heartbeat.set_address(peerAddress_);
-        heartbeat.set_state(leaving_ ? "leaving" : workers_.empty() ? "starting" : "serving");
+        heartbeat.set_state(shuttingDown_ ? "leaving" : workers_.empty() ? "starting" : "serving");
         int suspects = 0;
         for (const v1::SuspectReport &report : suspectsToReport(shared_, monotonicNow())) {
             *heartbeat.add_suspects() = report;
@@ -213,7 +215,7 @@
     void heartbeatEnded(const std::string &name, const std::optional<v1::Heartbeat> &reply)
     {
         if (reply)
-            observeSuspects(shared_, *reply, monotonicNow());
+            mergeSuspects(shared_, *reply, monotonicNow());
         for (const auto &worker : workers_) {
             worker->update([name, reply](EntryState &state, EntryShared &, TimePoint now) {
                 if (reply)
@@ -226,7 +228,8 @@
             fetchConfig(agentAddress(state_, name));
     }
 
-    /// A peer that has a newer version in force gives it when the log does not.
+    /// Fetches a newer configuration from a peer that has it in force, in case the log is not
+    /// reachable.
     void fetchConfig(const std::string &address)
     {
         if (std::exchange(fetching_, true))
@@ -241,7 +244,7 @@
                                        });
     }
 
-    /// Tells an admin, for its view of the fleet, which version is in force here.
+    /// Reports to an admin process which version is in force here, for its view of the fleet.
     void answerHeartbeat(PeerStreamId stream)
     {
         std::string out;
@@ -273,15 +276,16 @@
         peerServer_.reply(stream, out, true);
     }
 
-    /// Callers first learn to go elsewhere, then the doors close, then what is open ends by itself.
+    /// Shuts down gracefully: first fails health checks, so that callers use other entries; then
+    /// stops listening; then waits until the open requests have ended.
     void beginShutdown()
     {
-        if (std::exchange(leaving_, true))
+        if (std::exchange(shuttingDown_, true))
             return;
         directory_.reset();
-        logger_->info("Leaving: {} ms for callers to go elsewhere.", settings_.drainTime.count());
+        logger_->info("Shutting down: draining callers for {} ms.", settings_.drainTime.count());
         for (const auto &worker : workers_)
-            worker->announceLeaving();
+            worker->announceShutdown();
         loop_.runAfter(settings_.drainTime, [this] {
             for (const auto &worker : workers_)
                 worker->stopListening();
@@ -298,7 +302,7 @@
             loop_.runAfter(shutdownCheck, [this] { waitUntilIdle(); });
             return;
         }
-        logger_->info("Nothing is open any more.");
+        logger_->info("All requests have ended.");
         loop_.stop();
     }
 
@@ -324,7 +328,7 @@
     std::string metricsAddress_;
     std::optional<Error> failed_;
     bool fetching_ = false;
-    bool leaving_ = false;
+    bool shuttingDown_ = false;
 };
 
 EntryProcess::EntryProcess(EntrySettings settings)
--- a/Source/Process/EntryProcess.h
+++ b/Source/Process/EntryProcess.h
@@ -6,7 +6,8 @@
 
 namespace wisteria {
 
-/// The whole of wisteria-entry: traffic threads, the control loop and the reader of the log.
+/// The wisteria-entry program, which accepts callers' requests and sends them to agents: traffic
+/// threads, the control loop and the reader of the log.
 class EntryProcess
 {
 public:
@@ -15,9 +16,9 @@
     EntryProcess(const EntryProcess &) = delete;
     EntryProcess &operator=(const EntryProcess &) = delete;
 
-    /// Serves until SIGTERM or SIGINT and then until no request is open. Prints "ready ..." with
-    /// the addresses on standard output once it serves.
-    /// @return BadSettings when an address can't be had.
+    /// Serves until SIGTERM or SIGINT, then drains and returns when no request is open. Prints
+    /// "ready ..." with the addresses on standard output once it serves.
+    /// @return BadSettings if it can't listen on an address.
     Result<void> run();
 
 private:
--- a/Source/Process/EntrySettings.h
+++ b/Source/Process/EntrySettings.h
@@ -17,11 +17,11 @@
     std::string metricsListen;
     unsigned trafficThreads = 4;
     std::string logUrl;
-    /// Platform's list of VMs; empty when there is none.
+    /// URL of the platform's list of VMs; empty if there is none.
     std::string vmsUrl;
     std::string logLevel = "info";
     bool logJson = false;
-    /// How long callers may still come after SIGTERM, while GET /health already says 503.
+    /// How long new callers are accepted after SIGTERM, while GET /health already answers 503.
     milliseconds drainTime{2000};
 };
 
--- a/Source/Process/EntryWorker.cpp
+++ b/Source/Process/EntryWorker.cpp
@@ -11,7 +11,7 @@
 #include "Connection/CallerServer.h"
 #include "Connection/PeerPool.h"
 #include "Process/EventLoop.h"
-// A worker owns the sessions of the requests that it carries.
+// A worker owns the sessions of its requests.
 #include "Request/CallerSession.h"
 
 namespace wisteria {
@@ -22,7 +22,7 @@
 constexpr std::uint32_t statusUnavailable = 503;
 constexpr double microsecondsPerSecond = 1e6;
 
-/// Draws request identities that no other request has: 128 random bits.
+/// Generates unique request identities of 128 random bits.
 class RequestIds
 {
 public:
@@ -121,7 +121,7 @@
         loop_.post([this, change = std::move(change)] {
             const std::uint64_t before = state_.configVersion;
             change(state_, shared_, monotonicNow());
-            // Heartbeats come here many times a second, and only a version brings other addresses.
+            // Heartbeats call this many times a second, but only a new version changes addresses.
             if (state_.configVersion != before)
                 peers_.keepOnly(addressesOf(state_));
         });
@@ -137,7 +137,7 @@
     CallerSessionContext context_;
     std::map<CallerExchange *, std::shared_ptr<CallerSession>> sessions_;
     std::atomic<std::size_t> open_ = 0;
-    std::atomic<bool> leaving_ = false;
+    std::atomic<bool> shuttingDown_ = false;
     std::thread thread_;
 
 private:
@@ -155,11 +155,11 @@
 
     void answerHealth(CallerExchange &exchange)
     {
-        const bool ready = !leaving_ && state_.configVersion > 0;
+        const bool ready = !shuttingDown_ && state_.configVersion > 0;
         exchange.answer(ready ? statusOk : statusUnavailable, {{"Content-Type", "text/plain"}},
-                        ready          ? "ready\n"
-                            : leaving_ ? "leaving\n"
-                                       : "no configuration yet\n");
+                        ready               ? "ready\n"
+                            : shuttingDown_ ? "leaving\n"
+                                            : "no configuration yet\n");
     }
 
     void report(const std::string &outcome, const std::string &reason, microseconds took)
@@ -196,9 +196,9 @@
     private_->update(std::move(change));
 }
 
-void EntryWorker::announceLeaving()
+void EntryWorker::announceShutdown()
 {
-    private_->leaving_ = true;
+    private_->shuttingDown_ = true;
 }
 
 void EntryWorker::stopListening()
--- a/Source/Process/EntryWorker.h
+++ b/Source/Process/EntryWorker.h
@@ -7,7 +7,7 @@
 
 #include "Process/Error.h"
 #include "Process/Metrics.h"
-// A worker owns the routing state that its requests decide by.
+// A worker owns the routing state of its requests.
 #include "Request/EntryRequest.h"
 
 namespace wisteria {
@@ -17,32 +17,33 @@
 class EntryWorker
 {
 public:
-    /// @param shared What all workers share; outlives the worker, as metrics do.
+    /// @param shared State shared by all workers; outlives the worker, as metrics do.
     EntryWorker(const std::string &name, const std::string &failureDomain, EntryShared &shared,
                 Metrics &metrics);
 
-    /// Stops the thread; cuts off what is still open.
+    /// Stops the thread and closes open requests.
     ~EntryWorker();
     EntryWorker(const EntryWorker &) = delete;
     EntryWorker &operator=(const EntryWorker &) = delete;
 
-    /// Starts to take callers; workers of one entry listen on the same port.
-    /// @return The address with the port in use; BadSettings when it can't be had.
+    /// Starts to accept callers; workers of one entry listen on the same port.
+    /// @return The address with the port in use; BadSettings if it can't listen there.
     Result<std::string> listen(const std::string &address);
 
-    /// Starts the thread; listen() comes before.
+    /// Starts the thread. Call listen() first.
     void start();
 
     /// Changes the routing state on the worker's thread. Any thread may call it.
     void update(std::function<void(EntryState &, EntryShared &, TimePoint)> change);
 
-    /// Says 503 on GET /health from now on, so that the balancer in front sends callers elsewhere.
-    void announceLeaving();
+    /// Answers 503 to GET /health from now on, so that the load balancer in front uses other
+    /// entries.
+    void announceShutdown();
 
-    /// Takes no new connections from now on.
+    /// Accepts no new connections from now on.
     void stopListening();
 
-    /// Requests without a whole answer so far. Any thread may call it.
+    /// Number of requests that have not ended. Any thread may call it.
     std::size_t openRequests() const;
 
 private:
--- a/Source/Request/AdmissionChecks.cpp
+++ b/Source/Request/AdmissionChecks.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Why this agent takes no such work at all now.
+/// Refuses the attempt if the agent's configuration, draining state or backend server rules out
+/// new work.
 std::optional<RefuseAttempt> refusedByState(AdmissionState &state, const AgentAttempt &run)
 {
     if (!state.configured)
@@ -18,11 +19,12 @@
         return refuseNotRun(state, run, v1::REASON_WRONG_SERVICE, milliseconds(0));
     if (state.leaving || state.declared.draining())
         return refuseNotRun(state, run, v1::REASON_LEAVING, longAdmissionRetry);
-    // The entry knows a newer configuration, which may have moved the key or removed the service.
+    // The entry has a newer configuration, which may have moved the key to another owner or removed
+    // the service.
     if (run.key && run.head.config_version() > state.configVersion)
         return refuseNotRun(state, run, v1::REASON_STALE_CONFIG, shortAdmissionRetry);
-    // Failure: a stalled backend server takes requests and answers none, and each caller learns it
-    // at its own deadline. The health check learns it once for all.
+    // A stalled backend server accepts requests and answers none, so that each caller would notice
+    // it only at its deadline. The health check detects the stall for all callers.
     if (!state.backendUp || state.backendStalled)
         return refuseNotRun(state, run, v1::REASON_BACKEND_DOWN, longAdmissionRetry);
     return std::nullopt;
@@ -38,7 +40,8 @@
     }
     if (suspicion == Suspicion::None || run.alone)
         return std::nullopt;
-    // A key may run nowhere else, so it runs alone here; others go to the designated server.
+    // A keyed request may run only on the owner of its key, so a suspect one runs alone here. An
+    // idempotent suspect goes to the server that is designated for its fingerprint.
     if (run.key) {
         run.alone = true;
         return std::nullopt;
@@ -51,13 +54,13 @@
 {
     if (pastDeadline(state, run, now))
         return refuseNotRun(state, run, v1::REASON_DEADLINE, milliseconds(0));
-    const microseconds wait = expectedStart(state, run.head.priority());
+    const microseconds wait = expectedQueueTime(state, run.head.priority());
     const bool tooLate = wait.count() > 0 && now + wait + state.serviceTime > run.deadline;
     if (tooLate && state.guards.queueDeadline) {
         const auto retry = std::chrono::duration_cast<milliseconds>(wait) + milliseconds(1);
         return refuseNotRun(state, run, v1::REASON_DEADLINE, retry);
     }
-    // A suspect always finds one place: it has to wait until nothing else runs.
+    // A suspect can always queue, even if the bound is 0: it has to wait until nothing else runs.
     const std::size_t bound = std::max<std::size_t>(state.service.queue_bound(), run.alone ? 1 : 0);
     const bool startsNow = state.queue.empty() && mayStartNow(state, run);
     if (!startsNow && state.queue.size() >= bound) {
@@ -68,14 +71,14 @@
     return std::nullopt;
 }
 
-/// Answers a known key, or says that it is unknown, in flight or gone.
-/// @return Whether the attempt was answered.
+/// Replays the stored answer of a known key, or refuses the attempt with what is recorded of it.
+/// @return Whether the attempt was answered; false if nothing recorded keeps the key from running.
 bool answerKnownKey(AdmissionState &state, const AgentAttempt &run, AdmissionActions &actions)
 {
-    const KeyAnswer known = recallKey(state.keys, *run.key, run.head, state.guards);
-    if (known.kind == KeyAnswerKind::NotKnown)
+    const KeyLookup known = lookUpKey(state.keys, *run.key, run.head, state.guards);
+    if (known.kind == KeyLookupKind::NotKnown)
         return false;
-    if (known.kind == KeyAnswerKind::Replay) {
+    if (known.kind == KeyLookupKind::Replay) {
         const StoredAnswer &answer = *known.answer;
         actions.emplace_back(
             ReplayAnswer{run.stream, answer.httpStatus, answer.contentType, answer.body});
@@ -85,8 +88,8 @@
     return true;
 }
 
-/// Refuses a key that may not run here, or has run.
-/// @return Whether the attempt was answered.
+/// Answers an attempt whose key has run or may not run here.
+/// @return Whether the attempt was answered; false if the key may run.
 bool answeredByKey(AdmissionState &state, const AgentAttempt &run, WallTime wall,
                    AdmissionActions &actions)
 {
@@ -95,10 +98,10 @@
     const KeyEligibility eligibility = eligibilityOf(state, run.head.key(), run.key->first, wall);
     if (eligibility.mayRun)
         return false;
-    // Nothing is known of the key here, so only the caller's word that this is its first try makes
-    // "not run" true; and this try is refused for good, so that it stays true.
-    // Keys far ahead are not remembered, or a few of them would push all others out of the memory.
-    const bool farAhead = run.key->first > wall + rememberAhead;
+    // There is no record of the key here, so NOT_RUN is correct only if the caller declares this
+    // its first try. The try is then recorded as refused, so that a late copy of it never runs.
+    // Keys far ahead of the clock are not recorded, or a few of them would evict all others.
+    const bool farAhead = run.key->first > wall + maxRecordedLead;
     const bool firstTry =
         (run.head.caller_attempt() == 1 && !farAhead) || !state.guards.repeatsNeedProof;
     if (firstTry)
@@ -108,10 +111,11 @@
     return true;
 }
 
-std::optional<RefuseAttempt> refusedAnyhow(AdmissionState &state, AgentAttempt &run, TimePoint now)
+std::optional<RefuseAttempt> refusedByCommonChecks(AdmissionState &state, AgentAttempt &run,
+                                                   TimePoint now)
 {
-    // First, so that an entry learns of a conviction also from an agent whose backend server is
-    // down.
+    // The quarantine is checked first, so that an entry is informed of it also by an agent whose
+    // backend server is down.
     if (auto refused = refusedBySuspicion(state, run, now))
         return refused;
     if (auto refused = refusedByState(state, run))
@@ -135,7 +139,7 @@
         if (answeredByKey(state, run, wall, actions))
             return true;
     }
-    const auto refused = refusedAnyhow(state, run, now);
+    const auto refused = refusedByCommonChecks(state, run, now);
     if (refused)
         actions.emplace_back(*refused);
     return refused.has_value();
--- a/Source/Request/AdmissionConfiguration.cpp
+++ b/Source/Request/AdmissionConfiguration.cpp
@@ -21,11 +21,11 @@
     return members;
 }
 
-/// Accepted changes after the version in force, up to the new one; more than one means that
-/// versions in between were never in force here.
+/// Whether `version`, the one in force, directly precedes the new configuration. More than one
+/// accepted change after it means that versions in between were never in force here.
 bool everyVersionSeen(const ConfigState &config, std::uint64_t version)
 {
-    // What happened before the window is not remembered.
+    // Changes older than the window are not kept.
     if (config.position > version + changeWindow)
         return false;
     const auto newer = [version](const auto &item) {
@@ -41,7 +41,7 @@
     if (!state.configured)
         return;
     state.declared = own->second.object().backend_server();
-    // Another process was declared under this name at another address: it is the home now.
+    // Another process is declared under this name at another address: it owns the keys now.
     if (!state.ownAddress.empty() && state.declared.agent_address() != state.ownAddress)
         state.configured = false;
     const auto service = config.objects.find({v1::OBJECT_KIND_SERVICE, state.declared.service()});
@@ -65,8 +65,9 @@
     state.configVersion = config.version;
     applyDeclared(state, config);
     state.ownership.service = state.service.name();
-    // An earlier life of this process, or a home of a version not seen here, may have run any key
-    // made until now. Keys ahead of our clock by the allowance are let in, hence twice.
+    // An earlier incarnation of this process, or an owner of a version not seen here, may have run
+    // any key created until now. Its clock may be ahead of ours by the allowance, and it accepted
+    // keys ahead of its clock by the allowance, hence twice.
     if (!contiguous)
         state.keys.floor = std::max(state.keys.floor, wall + 2 * clockSkewAllowance);
     setOwnerCandidates(state.ownership, ownerCandidates(config, state.service.name()),
@@ -95,7 +96,7 @@
     return report;
 }
 
-std::vector<HandoverWanted> handoversWanted(const AdmissionState &state)
+std::vector<HandoverRequest> pendingHandovers(const AdmissionState &state)
 {
     return pendingReleases(state.ownership);
 }
@@ -104,18 +105,18 @@
                       const v1::KeyHandoverReply &reply, TimePoint, WallTime wall)
 {
     if (reply.released())
-        released(state.ownership, formerOwner, reply.config_version(), wall);
+        noteReleased(state.ownership, formerOwner, reply.config_version(), wall);
 }
 
 void vmGone(AdmissionState &state, const std::string &vm, TimePoint, WallTime wall)
 {
-    releasedByVm(state.ownership, vm, wall);
+    releaseByVm(state.ownership, vm, wall);
 }
 
-v1::KeyHandoverReply answerHandover(const AdmissionState &state, const v1::KeyHandover &question)
+v1::KeyHandoverReply answerHandover(const AdmissionState &state, const v1::KeyHandover &request)
 {
     v1::KeyHandoverReply reply;
-    reply.set_released(state.configVersion >= question.config_version());
+    reply.set_released(state.configVersion >= request.config_version());
     reply.set_config_version(state.configVersion);
     return reply;
 }
--- a/Source/Request/AdmissionKeys.cpp
+++ b/Source/Request/AdmissionKeys.cpp
@@ -11,20 +11,20 @@
 constexpr milliseconds inFlightRetry{200};
 constexpr milliseconds unprovenRetry{1'000};
 
-KeyAnswer refuse(v1::VerdictKind verdict, v1::Reason reason, milliseconds retryAfter)
+KeyLookup refuse(v1::VerdictKind verdict, v1::Reason reason, milliseconds retryAfter)
 {
-    return {KeyAnswerKind::Refuse, nullptr, verdict, reason, retryAfter};
+    return {KeyLookupKind::Refuse, nullptr, verdict, reason, retryAfter};
 }
 
-KeyAnswer answerRan(const KeyRecord &record)
+KeyLookup lookupOfRanKey(const KeyRecord &record)
 {
     if (record.answer)
-        return {KeyAnswerKind::Replay, &*record.answer, {}, {}, milliseconds(0)};
+        return {KeyLookupKind::Replay, &*record.answer, {}, {}, milliseconds(0)};
     return refuse(v1::VERDICT_KIND_ALREADY_RUN, v1::REASON_UNSPECIFIED, milliseconds(0));
 }
 
-/// A try that was refused as "not run", or is older than one, must never run: its caller was told
-/// so. It shows up again when a frame was delayed or delivered twice.
+/// Whether this try or a later one was refused as NOT_RUN. Such a try must never run, since its
+/// caller got that verdict; it arrives again when a frame was delayed or delivered twice.
 bool isRefusedTry(const KeyRecord &record, const v1::RunHead &head)
 {
     return record.refusedTry > 0 && head.caller_attempt() <= record.refusedTry;
@@ -32,14 +32,14 @@
 
 } // namespace
 
-KeyAnswer recallKey(KeyMemory &memory, const KeyId &id, const v1::RunHead &head,
+KeyLookup lookUpKey(KeyMemory &memory, const KeyId &id, const v1::RunHead &head,
                     const RequestGuards &guards)
 {
     const KeyRecord *record = findKey(memory, id);
     if (!record || !guards.keyMemory)
         return {};
-    // Another request under a used key: it must not get the first one's answer. "Not run" covers
-    // earlier tries too, so it is said only when the key did not run.
+    // A different request under a used key must not get the first one's answer. NOT_RUN covers
+    // earlier tries too, so it is the verdict only if the key did not run.
     if (record->fingerprint != head.fingerprint()) {
         const bool ran = record->phase != KeyPhase::Refused;
         return refuse(ran ? v1::VERDICT_KIND_OUTCOME_UNKNOWN : v1::VERDICT_KIND_NOT_RUN,
@@ -53,7 +53,7 @@
     case KeyPhase::InFlight:
         return refuse(v1::VERDICT_KIND_OUTCOME_UNKNOWN, v1::REASON_KEY_IN_FLIGHT, inFlightRetry);
     case KeyPhase::Ran:
-        return answerRan(*record);
+        return lookupOfRanKey(*record);
     case KeyPhase::Unknown:
         break;
     }
@@ -63,38 +63,38 @@
 bool refuseTry(KeyMemory &memory, const KeyId &id, const v1::RunHead &head,
                const RequestGuards &guards)
 {
-    // Without a count of tries an earlier one may still be on its way and run later.
+    // If the caller does not count its tries, an earlier one may still be in transit and run later.
     if (head.caller_attempt() == 0) {
-        keyDidNotRun(memory, id);
+        noteKeyNotRun(memory, id);
         return !guards.repeatsNeedProof;
     }
-    KeyRecord &record = rememberKey(memory, id);
+    KeyRecord &record = findOrAddKey(memory, id);
     record.phase = KeyPhase::Refused;
     record.fingerprint = head.fingerprint();
     record.refusedTry = std::max(record.refusedTry, head.caller_attempt());
     return true;
 }
 
-void keyInFlight(KeyMemory &memory, const KeyId &id, const v1::RunHead &head)
+void noteKeyInFlight(KeyMemory &memory, const KeyId &id, const v1::RunHead &head)
 {
-    KeyRecord &record = rememberKey(memory, id);
+    KeyRecord &record = findOrAddKey(memory, id);
     record.phase = KeyPhase::InFlight;
     record.fingerprint = head.fingerprint();
 }
 
-void keyRan(KeyMemory &memory, const KeyId &id)
+void noteKeyRan(KeyMemory &memory, const KeyId &id)
 {
     if (KeyRecord *record = findKey(memory, id))
         record->phase = KeyPhase::Ran;
 }
 
-void keyDidNotRun(KeyMemory &memory, const KeyId &id)
+void noteKeyNotRun(KeyMemory &memory, const KeyId &id)
 {
     if (KeyRecord *record = findKey(memory, id))
         record->phase = KeyPhase::Refused;
 }
 
-void keyUnknown(KeyMemory &memory, const KeyId &id)
+void noteKeyUnknown(KeyMemory &memory, const KeyId &id)
 {
     if (KeyRecord *record = findKey(memory, id))
         record->phase = KeyPhase::Unknown;
@@ -104,16 +104,17 @@
                              WallTime wall)
 {
     const RequestGuards &guards = state.guards;
-    const KeyRight right = rightTo(state.ownership, canonicalKey(key), time);
-    if (guards.ownerOnly && (!state.configured || right == KeyRight::NotOwner))
+    const OwnershipStatus status = ownershipStatus(state.ownership, canonicalKey(key), time);
+    if (guards.ownerOnly && (!state.configured || status == OwnershipStatus::NotOwner))
         return {false, v1::REASON_NOT_HOME, inFlightRetry};
-    if (guards.ownership && right == KeyRight::Unproven)
+    if (guards.ownership && status == OwnershipStatus::Unproven)
         return {false, v1::REASON_KEY_UNPROVEN, unprovenRetry};
-    // A key ahead of our clock would look younger than our next start and could run again then.
+    // A key ahead of our clock would look newer than this process's next start and could run again
+    // after it.
     if (guards.keyFloor && time > wall + clockSkewAllowance)
         return {false, v1::REASON_KEY_UNPROVEN, std::min(time - wall, unprovenRetry)};
     const bool belowFloor = guards.keyFloor && time <= state.keys.floor;
-    if (belowFloor || (guards.ownership && right == KeyRight::TooOld)) {
+    if (belowFloor || (guards.ownership && status == OwnershipStatus::TooOld)) {
         const auto untilFloor = std::max(state.keys.floor - wall, milliseconds(0));
         return {false, v1::REASON_KEY_TOO_OLD, untilFloor};
     }
--- a/Source/Request/AdmissionKeys.h
+++ b/Source/Request/AdmissionKeys.h
@@ -10,42 +10,44 @@
 
 namespace wisteria {
 
-/// What the memory of keys says to an attempt.
-enum class KeyAnswerKind { NotKnown, Replay, Refuse };
+/// What the record of a key means for an attempt.
+enum class KeyLookupKind { NotKnown, Replay, Refuse };
 
-/// What the memory of keys says to an attempt, in full.
-struct KeyAnswer
+/// What the record of a key means for an attempt, with the answer or the verdict.
+struct KeyLookup
 {
-    KeyAnswerKind kind = KeyAnswerKind::NotKnown;
-    /// The kept answer, valid until the memory changes; for Replay only.
+    KeyLookupKind kind = KeyLookupKind::NotKnown;
+    /// The stored answer, valid until the memory changes; for Replay only.
     const StoredAnswer *answer = nullptr;
     v1::VerdictKind verdict = v1::VERDICT_KIND_UNSPECIFIED;
     v1::Reason reason = v1::REASON_UNSPECIFIED;
     milliseconds retryAfter{0};
 };
 
-/// Looks the key up: a replay, a refusal of a repeat, or nothing known that keeps it from running.
-KeyAnswer recallKey(KeyMemory &memory, const KeyId &id, const v1::RunHead &head,
+/// Looks the key up.
+/// @return Replay with a stored answer, Refuse for a repeat that must not run, or NotKnown if
+/// nothing recorded keeps the attempt from running.
+KeyLookup lookUpKey(KeyMemory &memory, const KeyId &id, const v1::RunHead &head,
                     const RequestGuards &guards);
 
-/// Remembers that this try of the key was refused and so never runs.
-/// @return Whether "not run" is proved for all tries so far, and so may be said.
+/// Records that this try of the key was refused, so that it never runs.
+/// @return Whether it is proved that no try so far runs, so that the verdict may be NOT_RUN.
 bool refuseTry(KeyMemory &memory, const KeyId &id, const v1::RunHead &head,
                const RequestGuards &guards);
 
-/// The key was taken: it is queued or runs.
-void keyInFlight(KeyMemory &memory, const KeyId &id, const v1::RunHead &head);
+/// Records that the key's request was admitted: it is queued or runs.
+void noteKeyInFlight(KeyMemory &memory, const KeyId &id, const v1::RunHead &head);
 
-/// The key ran to its end.
-void keyRan(KeyMemory &memory, const KeyId &id);
+/// Records that the key's request ran to its end.
+void noteKeyRan(KeyMemory &memory, const KeyId &id);
 
-/// The backend server never got the key's request.
-void keyDidNotRun(KeyMemory &memory, const KeyId &id);
+/// Records that the backend server never got the key's request.
+void noteKeyNotRun(KeyMemory &memory, const KeyId &id);
 
-/// The key's run was cut: it may have run.
-void keyUnknown(KeyMemory &memory, const KeyId &id);
+/// Records that the run of the key was cut, so that it may have run.
+void noteKeyUnknown(KeyMemory &memory, const KeyId &id);
 
-/// Whether a key that is not remembered may run here.
+/// Whether a key without a record may run here, and otherwise the reason and when to retry.
 struct KeyEligibility
 {
     bool mayRun = false;
@@ -53,7 +55,8 @@
     milliseconds retryAfter{0};
 };
 
-/// Whether a key that is not remembered may run here.
+/// Returns whether a key without a record may run here.
+/// @param time Creation time that the key carries.
 KeyEligibility eligibilityOf(const AdmissionState &state, const std::string &key, WallTime time,
                              WallTime wall);
 
--- a/Source/Request/AgentAdmission.cpp
+++ b/Source/Request/AgentAdmission.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-/// Weight of the newest run in the smoothed service time.
+/// The newest run has a weight of 1/8 in the smoothed service time.
 constexpr int serviceTimeSmoothing = 8;
 
-auto runOf(std::vector<AgentAttempt> &runs, StreamId stream)
+auto findAttempt(std::vector<AgentAttempt> &runs, StreamId stream)
 {
     return std::find_if(runs.begin(), runs.end(),
                         [stream](const AgentAttempt &run) { return run.stream == stream; });
 }
 
-AgentAttempt makeRun(StreamId stream, const v1::RunHead &head, TimePoint now)
+AgentAttempt makeAttempt(StreamId stream, const v1::RunHead &head, TimePoint now)
 {
     AgentAttempt run;
     run.stream = stream;
@@ -38,24 +38,24 @@
         state.serviceTime += (taken - state.serviceTime) / serviceTimeSmoothing;
 }
 
-void endKey(AdmissionState &state, const AgentAttempt &run, const BackendResult &result)
+void noteKeyEnd(AdmissionState &state, const AgentAttempt &run, const BackendResult &result)
 {
     if (!run.key)
         return;
     switch (result.kind) {
     case BackendEnd::Answered:
-        keyRan(state.keys, *run.key);
+        noteKeyRan(state.keys, *run.key);
         if (result.body)
             storeAnswer(state.keys, *run.key,
                         {result.httpStatus, result.contentType, *result.body});
         return;
     case BackendEnd::Refused:
-        keyDidNotRun(state.keys, *run.key);
+        noteKeyNotRun(state.keys, *run.key);
         return;
     case BackendEnd::Cut:
     case BackendEnd::Died:
     case BackendEnd::TimedOut:
-        keyUnknown(state.keys, *run.key);
+        noteKeyUnknown(state.keys, *run.key);
         return;
     }
 }
@@ -77,8 +77,9 @@
 
 std::uint64_t deathId(const AdmissionState &state)
 {
-    const std::string life = std::to_string(state.incarnation) + '/' + std::to_string(state.deaths);
-    return pairHash(state.ownName, life);
+    const std::string incarnation =
+        std::to_string(state.incarnation) + '/' + std::to_string(state.deaths);
+    return pairHash(state.ownName, incarnation);
 }
 
 } // namespace
@@ -87,11 +88,11 @@
                             TimePoint now, WallTime wall)
 {
     AdmissionActions actions;
-    AgentAttempt run = makeRun(stream, head, now);
+    AgentAttempt run = makeAttempt(stream, head, now);
     if (answeredAtAdmission(state, run, now, wall, actions))
         return actions;
     if (run.key)
-        keyInFlight(state.keys, *run.key, run.head);
+        noteKeyInFlight(state.keys, *run.key, run.head);
     enqueue(state, std::move(run));
     startQueued(state, now, actions);
     return actions;
@@ -100,12 +101,12 @@
 AdmissionActions backendEnded(AdmissionState &state, StreamId stream, const BackendResult &result,
                               TimePoint now)
 {
-    const auto found = runOf(state.running, stream);
+    const auto found = findAttempt(state.running, stream);
     if (found == state.running.end())
         return {};
     const AgentAttempt run = std::move(*found);
     state.running.erase(found);
-    endKey(state, run, result);
+    noteKeyEnd(state, run, result);
     AdmissionActions actions;
     if (result.kind == BackendEnd::Answered) {
         observeServiceTime(state, std::chrono::duration_cast<microseconds>(now - run.startedAt));
@@ -125,7 +126,7 @@
 AdmissionActions streamCancelled(AdmissionState &state, StreamId stream, TimePoint now)
 {
     AdmissionActions actions;
-    const auto queued = runOf(state.queue, stream);
+    const auto queued = findAttempt(state.queue, stream);
     if (queued != state.queue.end()) {
         if (queued->key)
             refuseTry(state.keys, *queued->key, queued->head, state.guards);
@@ -133,10 +134,10 @@
         startQueued(state, now, actions);
         return actions;
     }
-    const auto found = runOf(state.running, stream);
+    const auto found = findAttempt(state.running, stream);
     if (found == state.running.end())
         return actions;
-    // A run that may not be repeated goes on: its answer is kept for the caller's repeat.
+    // A non-idempotent run continues: its answer is stored for the caller's repeat.
     if (found->key) {
         found->abandoned = true;
         return actions;
@@ -157,7 +158,7 @@
     return actions;
 }
 
-AdmissionActions beginLeaving(AdmissionState &state, TimePoint)
+AdmissionActions beginDraining(AdmissionState &state, TimePoint)
 {
     state.leaving = true;
     AdmissionActions actions;
--- a/Source/Request/AgentAdmission.h
+++ b/Source/Request/AgentAdmission.h
@@ -17,7 +17,7 @@
 
 namespace wisteria {
 
-/// The shell's name of one attempt; never used twice within a process.
+/// Identifies one attempt for the I/O layer; never used twice within a process.
 using StreamId = std::uint64_t;
 
 /// One attempt that is queued or runs.
@@ -30,18 +30,21 @@
     TimePoint deadline;
     /// Identity of the key; for non-idempotent requests only.
     std::optional<KeyId> key;
+    /// Nothing else may run at the backend server meanwhile.
     bool alone = false;
-    /// The entry is gone; the run goes on so that a repeat finds its answer.
+    /// The entry is gone; the run continues so that a repeat gets its answer.
     bool abandoned = false;
 };
 
-/// The last gate before a backend server: one per agent, used by one thread.
+/// State of admission control, the last check before a backend server. One per agent, used by one
+/// thread.
 struct AdmissionState
 {
-    /// Set by the shell before the first configuration. Empty address: not compared.
+    /// Set by the I/O layer before the first configuration. An empty address is not compared with
+    /// the declared one.
     std::string ownName;
     std::string ownAddress;
-    /// Differs between lives of the process: its start on the wall clock, in milliseconds.
+    /// Start of the process on the wall clock in milliseconds; differs between its incarnations.
     std::uint64_t incarnation = 0;
     RequestGuards guards;
 
@@ -51,10 +54,11 @@
     bool configured = false;
     bool leaving = false;
     bool backendUp = true;
-    /// The backend server's process lives, but gives its health check no answer in time.
+    /// The backend server's process runs, but does not answer its health check in time.
     bool backendStalled = false;
     /// Deaths of the backend server seen by this process.
     std::uint64_t deaths = 0;
+    /// Smoothed service time; zero before the first answer.
     microseconds serviceTime{0};
     std::vector<AgentAttempt> queue;
     std::vector<AgentAttempt> running;
@@ -63,7 +67,7 @@
     PoisonRequests suspects;
 };
 
-/// Hand the attempt to the backend server.
+/// Send the attempt to the backend server.
 struct StartBackend
 {
     StreamId stream = 0;
@@ -76,7 +80,7 @@
     v1::Verdict verdict;
 };
 
-/// Answer the attempt with a kept answer.
+/// Answer the attempt with a stored answer.
 struct ReplayAnswer
 {
     StreamId stream = 0;
@@ -96,7 +100,7 @@
 
 /// How a run at the backend server ended.
 enum class BackendEnd {
-    Answered, ///< Whole answer.
+    Answered, ///< The answer arrived completely.
     Refused, ///< Refused or unreachable before any byte of the request was sent.
     Cut, ///< The answer or the request was cut; it may have run.
     Died, ///< The backend server's process died.
@@ -109,56 +113,61 @@
     BackendEnd kind = BackendEnd::Answered;
     std::uint32_t httpStatus = 0;
     std::string contentType;
-    /// The whole body if it has at most maxStoredAnswerBytes; nothing otherwise.
+    /// The complete body if it has at most maxStoredAnswerBytes; nothing otherwise.
     std::optional<std::string> body;
 };
 
-/// An attempt arrived whole; the shell holds its body.
+/// Admits, queues, refuses or replays an attempt that has arrived completely. The I/O layer holds
+/// its body.
 AdmissionActions runArrived(AdmissionState &state, StreamId stream, const v1::RunHead &head,
                             TimePoint now, WallTime wall);
 
-/// A run at the backend server ended. If the shell has not sent the ACCEPTED verdict yet, a
-/// RefuseAttempt for the same stream says what to send; otherwise the shell ends the answer with
-/// an AnswerEnd frame and ignores that action.
+/// Records the end of a run at the backend server and starts queued attempts. If the I/O layer has
+/// not sent the ACCEPTED verdict yet, a RefuseAttempt for the same stream holds the verdict to
+/// send; otherwise the I/O layer ends the answer with an AnswerEnd frame and ignores that action.
 AdmissionActions backendEnded(AdmissionState &state, StreamId stream, const BackendResult &result,
                               TimePoint now);
 
-/// The entry cancelled the attempt's stream or its connection broke.
+/// Removes the attempt after the entry cancelled its stream or its connection broke. A
+/// non-idempotent attempt that runs already continues.
 AdmissionActions streamCancelled(AdmissionState &state, StreamId stream, TimePoint now);
 
-/// To be called every few milliseconds: refuses what is past its deadline, forgets old suspects.
+/// Refuses queued attempts past their deadline and removes expired suspects. Must be called every
+/// few milliseconds.
 AdmissionActions tick(AdmissionState &state, TimePoint now, WallTime wall);
 
-/// Takes no new work from now on: queued attempts are refused as not run, running ones go on.
-AdmissionActions beginLeaving(AdmissionState &state, TimePoint now);
+/// Begins draining: queued and new attempts are refused as not run, running ones continue.
+AdmissionActions beginDraining(AdmissionState &state, TimePoint now);
 
 /// Whether nothing is queued or running.
 bool idle(const AdmissionState &state);
 
-/// The backend server came up or died. Death makes suspects of what ran, or convicts what ran
-/// alone. The shell then ends each running stream with backendEnded(Died).
+/// Records that the backend server came up or died. A death makes suspects of the requests that
+/// ran, and quarantines one that ran alone. The I/O layer then ends each running stream with
+/// backendEnded(Died).
 AdmissionActions backendHealth(AdmissionState &state, bool up, TimePoint now);
 
-/// Takes a version of the configuration into force. Versions that are not newer are ignored.
+/// Puts a version of the configuration into force. Versions that are not newer are ignored.
 /// Queued attempts that this backend server may no longer run are refused.
 AdmissionActions setAdmissionConfiguration(AdmissionState &state, const ConfigState &config,
                                            const std::string &ownName, TimePoint now,
                                            WallTime wall);
 
-/// What rides on every frame and heartbeat.
+/// The load that every frame and heartbeat reports.
 v1::LoadReport loadReport(const AdmissionState &state);
 
-/// Former homes that must release their keys before this agent runs any key they may have run.
-std::vector<HandoverWanted> handoversWanted(const AdmissionState &state);
+/// Requests to former owners that must release their keys before this agent runs any key that
+/// they may have run.
+std::vector<HandoverRequest> pendingHandovers(const AdmissionState &state);
 
-/// A former home answered.
+/// Applies the reply of a former owner to a handover request.
 void handoverAnswered(AdmissionState &state, const std::string &formerOwner,
                       const v1::KeyHandoverReply &reply, TimePoint now, WallTime wall);
 
-/// The platform's list says that the VM is gone: it can run no key any more.
+/// Counts the former owners on a VM as released, because the platform lists the VM as gone.
 void vmGone(AdmissionState &state, const std::string &vm, TimePoint now, WallTime wall);
 
-/// Answers a new home's question.
-v1::KeyHandoverReply answerHandover(const AdmissionState &state, const v1::KeyHandover &question);
+/// Answers the handover request of a new owner.
+v1::KeyHandoverReply answerHandover(const AdmissionState &state, const v1::KeyHandover &request);
 
 } // namespace wisteria
--- a/Source/Request/AttemptQueue.cpp
+++ b/Source/Request/AttemptQueue.cpp
@@ -14,7 +14,7 @@
                        [](const AgentAttempt &run) { return run.alone; });
 }
 
-/// Requests that would start before one of this priority.
+/// Number of queued requests that would start before a new one of this priority.
 std::size_t queuedBefore(const AdmissionState &state, std::uint32_t priority)
 {
     return std::count_if(
@@ -56,7 +56,7 @@
     return std::max<std::uint32_t>(state.declared.concurrency(), 1);
 }
 
-microseconds expectedStart(const AdmissionState &state, std::uint32_t priority)
+microseconds expectedQueueTime(const AdmissionState &state, std::uint32_t priority)
 {
     const std::size_t ahead = state.running.size() + queuedBefore(state, priority);
     if (ahead < slots(state))
@@ -68,7 +68,7 @@
 {
     if (!state.backendUp || state.backendStalled || runsAlone(state))
         return false;
-    // A suspect may take the backend server down: nothing else may be hurt with it.
+    // A suspect may crash the backend server, so nothing else may run meanwhile.
     if (run.alone)
         return state.running.empty();
     return state.running.size() < slots(state);
@@ -101,11 +101,12 @@
 }
 
 void refuseQueued(AdmissionState &state, v1::Reason reason, milliseconds retryAfter,
-                  AdmissionActions &actions, const std::function<bool(const AgentAttempt &)> &picks)
+                  AdmissionActions &actions,
+                  const std::function<bool(const AgentAttempt &)> &selects)
 {
     std::vector<AgentAttempt> kept;
     for (AgentAttempt &run : state.queue) {
-        if (picks(run))
+        if (selects(run))
             actions.emplace_back(refuseNotRun(state, run, reason, retryAfter));
         else
             kept.push_back(std::move(run));
--- a/Source/Request/AttemptQueue.h
+++ b/Source/Request/AttemptQueue.h
@@ -7,7 +7,7 @@
 
 namespace wisteria {
 
-/// When to come back after a refusal that passes soon, and after one that lasts a while.
+/// Retry-after times of refusals with a short-lived and with a longer-lasting cause.
 constexpr milliseconds shortAdmissionRetry{100};
 constexpr milliseconds longAdmissionRetry{1'000};
 
@@ -15,35 +15,36 @@
 RefuseAttempt refusal(StreamId stream, v1::VerdictKind kind, v1::Reason reason,
                       milliseconds retryAfter);
 
-/// Refuses a run that was never handed to the backend server. For a key this is remembered, so
-/// that the same try, arriving late or twice, does not run after all.
+/// Builds the refusal of an attempt that was never sent to the backend server. For a key the
+/// refusal is recorded, so that the same try does not run if it arrives late or twice.
 RefuseAttempt refuseNotRun(AdmissionState &state, const AgentAttempt &run, v1::Reason reason,
                            milliseconds retryAfter);
 
-/// Requests that the backend server runs at once.
+/// Number of requests that the backend server runs at once.
 std::uint32_t slots(const AdmissionState &state);
 
-/// Whether the run could start now if it were first in the queue.
+/// Whether the attempt could start now if it were first in the queue.
 bool mayStartNow(const AdmissionState &state, const AgentAttempt &run);
 
-/// Whether the run's deadline has passed.
+/// Whether the attempt's deadline has passed; false if the queueDeadline guard is off.
 bool pastDeadline(const AdmissionState &state, const AgentAttempt &run, TimePoint now);
 
 /// Time until a request of this priority would start; zero when it can start at once.
-microseconds expectedStart(const AdmissionState &state, std::uint32_t priority);
+microseconds expectedQueueTime(const AdmissionState &state, std::uint32_t priority);
 
-/// Queues a run behind those of its priority and before those of lower ones.
+/// Queues an attempt behind those of the same priority and before those of lower priority.
 void enqueue(AdmissionState &state, AgentAttempt run);
 
-/// Starts queued runs while there is room.
+/// Starts queued attempts while slots are free, and refuses those past their deadline.
 void startQueued(AdmissionState &state, TimePoint now, AdmissionActions &actions);
 
-/// Refuses every queued run that the predicate picks.
+/// Refuses every queued attempt that the predicate selects.
 void refuseQueued(AdmissionState &state, v1::Reason reason, milliseconds retryAfter,
                   AdmissionActions &actions,
-                  const std::function<bool(const AgentAttempt &)> &picks);
+                  const std::function<bool(const AgentAttempt &)> &selects);
 
-/// Answers an attempt that must not be queued, and says so; otherwise may mark it to run alone.
+/// Answers an attempt that must not be queued. Otherwise sets its key and may mark it to run
+/// alone.
 /// @return Whether the attempt was answered.
 bool answeredAtAdmission(AdmissionState &state, AgentAttempt &run, TimePoint now, WallTime wall,
                          AdmissionActions &actions);
--- a/Source/Request/BudgetOwner.cpp
+++ b/Source/Request/BudgetOwner.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Requests granted beyond twice the last interval's demand, so that a burst finds some.
+/// Requests that a grant holds beyond twice the demand of the last interval, for bursts.
 constexpr std::uint32_t spareRequests = 4;
 
 std::size_t entryCount(const BudgetOwner &owner)
@@ -14,29 +14,31 @@
     return std::max<std::size_t>(owner.entryNames.size(), 1);
 }
 
-void forgetLapsed(OrganisationBudget &budget, TimePoint now)
+void removeExpiredLeases(OrganisationBudget &budget, TimePoint now)
 {
     std::erase_if(budget.leases, [now](const auto &item) { return item.second.until <= now; });
 }
 
-/// The part of the limit that leases are made from; the rest is the shares of other entries.
-double leasedPart(const BudgetOwner &owner, const OrganisationBudget &budget)
+/// The fraction of the limit that is granted by leases; entries without a lease use the rest as
+/// their static shares.
+double leasedFraction(const BudgetOwner &owner, const OrganisationBudget &budget)
 {
     return static_cast<double>(budget.leases.size()) / static_cast<double>(entryCount(owner));
 }
 
-void sizePool(const BudgetOwner &owner, OrganisationBudget &budget,
-              const v1::Organisation &declared, TimePoint now)
+void resizePool(const BudgetOwner &owner, OrganisationBudget &budget,
+                const v1::Organisation &declared, TimePoint now)
 {
     refill(budget.pool, now);
     budget.pool.refilledAt = std::max(budget.pool.refilledAt, now);
-    const double part = leasedPart(owner, budget);
-    budget.pool.rate = declared.requests_per_second() * part;
-    budget.pool.capacity = std::max(1.0, declared.burst() * part);
+    const double fraction = leasedFraction(owner, budget);
+    budget.pool.rate = declared.requests_per_second() * fraction;
+    budget.pool.capacity = std::max(1.0, declared.burst() * fraction);
     budget.pool.tokens = std::min(budget.pool.tokens, budget.pool.capacity);
 }
 
-/// Settles what the entry spent of its last grant.
+/// Returns what the entry did not use of its last grant to the pool, or deducts what it used
+/// beyond it.
 void settle(OrganisationBudget &budget, BudgetLease &lease, const v1::BudgetRequest &request)
 {
     const double unspent = static_cast<double>(lease.requests) - request.admitted();
@@ -58,7 +60,7 @@
     return static_cast<std::uint32_t>(std::min(want, std::max(fair, available - others)));
 }
 
-/// Concurrency that other entries hold or are entitled to without asking.
+/// Concurrency that other entries hold by lease, or by static share if they have no lease.
 std::uint32_t concurrencyOfOthers(const BudgetOwner &owner, const OrganisationBudget &budget,
                                   const v1::Organisation &declared, const std::string &entry)
 {
@@ -84,12 +86,12 @@
     const std::uint32_t limit = declared.concurrency();
     const std::uint32_t others = concurrencyOfOthers(owner, budget, declared, entry);
     const std::uint32_t left = limit > others ? limit - others : 0;
-    // An entry that needs less than its fair part leaves the rest to others.
+    // An entry that needs less than its fair share leaves the rest to others.
     const auto fair = static_cast<std::uint32_t>(limit / entryCount(owner));
-    // A quiet entry keeps half its fair part for a jump of its callers' pace; all of it would hold
-    // the busy entries below what the organisation pays for.
+    // An entry with little traffic keeps half its fair share for a sudden rise of its callers'
+    // rate. Keeping all of it would hold the busy entries below what the organisation pays for.
     const std::uint32_t want = std::max(fair / 2, lease.inFlight + lease.wanted + spareRequests);
-    // While another one is held below its fair part, nobody holds more than the fair part.
+    // While another entry is held below its fair share, no entry gets more than the fair share.
     bool starved = false;
     for (const auto &[name, other] : budget.leases)
         starved = starved || (name != entry && other.concurrency < std::min(fair, other.wanted));
@@ -98,7 +100,7 @@
 
 } // namespace
 
-BudgetOwner startBudgetOwner(const std::vector<std::string> &entryNames, TimePoint now)
+BudgetOwner makeBudgetOwner(const std::vector<std::string> &entryNames, TimePoint now)
 {
     BudgetOwner owner;
     setBudgetEntries(owner, entryNames, now);
@@ -111,7 +113,7 @@
         return;
     owner.entryNames = entryNames;
     owner.budgets.clear();
-    owner.grantsFrom = now + grantTime + grantMargin;
+    owner.firstGrantAt = now + grantTime + grantMargin;
 }
 
 void setBudgets(BudgetOwner &owner, const std::map<std::string, v1::Organisation> &organisations)
@@ -128,14 +130,14 @@
     const auto declared = owner.declared.find(request.organisation());
     const bool known = std::find(owner.entryNames.begin(), owner.entryNames.end(), request.entry())
         != owner.entryNames.end();
-    if (declared == owner.declared.end() || !known || now < owner.grantsFrom)
+    if (declared == owner.declared.end() || !known || now < owner.firstGrantAt)
         return grant;
     OrganisationBudget &budget = owner.budgets[request.organisation()];
-    forgetLapsed(budget, now);
+    removeExpiredLeases(budget, now);
     BudgetLease &lease = budget.leases[request.entry()];
     lease.inFlight = request.in_flight();
     lease.wanted = request.wanted();
-    sizePool(owner, budget, declared->second, now);
+    resizePool(owner, budget, declared->second, now);
     settle(budget, lease, request);
     lease.requests = grantRequests(budget, request.entry(), lease);
     budget.pool.tokens -= lease.requests;
--- a/Source/Request/CallerSession.cpp
+++ b/Source/Request/CallerSession.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 const char *const runPath = "/v1/run";
-/// A body travels in frames of at most this size.
+/// Largest part of a body in one frame.
 constexpr std::size_t bodyFrameBytes = 1024 * 1024;
-/// Bytes that may wait for a slow caller before its agent is held back.
+/// Bytes that may be queued for a slow caller before reading from its agent pauses.
 constexpr std::size_t pauseAboveBytes = 128 * 1024;
 
 std::string framesOf(const v1::RunHead &head, std::string_view body)
@@ -34,7 +34,7 @@
 
 } // namespace
 
-/// One attempt's stream. A detached attempt's late frames find no session and end here.
+/// Handles one attempt's stream. Frames that arrive after detach() are dropped.
 class CallerSession::Attempt : public PeerStreamHandler
 {
 public:
@@ -60,9 +60,9 @@
 
 CallerSession::CallerSession(CallerSessionContext &context,
                              std::shared_ptr<CallerExchange> exchange, CallerRequest request,
-                             std::function<void()> over)
+                             std::function<void()> closed)
     : context_(context), exchange_(std::move(exchange)), request_(std::move(request)),
-      over_(std::move(over))
+      onClosed_(std::move(closed))
 { }
 
 void CallerSession::start()
@@ -97,7 +97,7 @@
 
 void CallerSession::perform(EntryAction action)
 {
-    // An attempt that fails at once gives the next action; a loop keeps the stack flat.
+    // An attempt that fails at once returns the next action; a loop avoids recursion.
     while (!ended_ && !std::holds_alternative<Nothing>(action))
         action = performOne(action);
 }
@@ -143,7 +143,8 @@
 {
     answer_ = answer;
     answering_ = true;
-    // A short answer is whole within this round and goes out with its length; else it is streamed.
+    // A short answer is complete within this turn of the event loop and is sent with its length;
+    // a longer one is streamed.
     context_.loop.defer([session = shared_from_this()] { session->flushAnswer(); });
 }
 
@@ -161,8 +162,8 @@
     v1::AgentFrame frame;
     if (ended_ || !frame.ParseFromString(content))
         return;
-    // Answers must never cross: a frame of another request or of an attempt that was given up is
-    // dropped at this first hop that can tell.
+    // A caller must never get another request's answer: a frame of another request, or of an
+    // attempt that was given up, is dropped here, at the first hop that can detect it.
     if (!belongsTo(context_.state, state_, frame))
         return;
     perform(attemptVerdict(context_.state, context_.shared, state_, frame, monotonicNow()));
@@ -171,7 +172,7 @@
     if (frame.has_chunk())
         appendChunk(frame.chunk());
     if (frame.has_end())
-        finishAnswer(answerIsWhole(state_, frame.end()));
+        finishAnswer(isAnswerComplete(state_, frame.end()));
 }
 
 void CallerSession::appendChunk(const std::string &bytes)
@@ -205,11 +206,11 @@
 {
     answerEnded(context_.state, context_.shared, state_, complete, monotonicNow());
     if (!complete && !streaming_) {
-        // Nothing was sent yet, so the caller can still be told in words.
+        // Nothing has been sent yet, so the caller can still get an error answer.
         return refuse({EndKind::OutcomeUnknown, v1::REASON_CONNECTION_LOST, milliseconds(1000)});
     }
     if (complete) {
-        // The stream ends by itself; cancelling it would only look like a caller that left.
+        // The agent ends the stream itself; a cancel would look like a caller that hung up.
         attempt_->detach();
         client_ = nullptr;
     }
@@ -249,7 +250,7 @@
     context_.loop.cancel(std::exchange(timer_, 0));
     context_.report(outcome, reason,
                     std::chrono::duration_cast<microseconds>(monotonicNow() - startedAt_));
-    over_();
+    onClosed_();
 }
 
 } // namespace wisteria
--- a/Source/Request/CallerSession.h
+++ b/Source/Request/CallerSession.h
@@ -11,35 +11,35 @@
 
 namespace wisteria {
 
-/// What the sessions of one traffic thread share. All of it outlives them.
+/// Objects that the sessions of one traffic thread share. All of them outlive the sessions.
 struct CallerSessionContext
 {
     EventLoop &loop;
     PeerPool &peers;
     EntryState &state;
     EntryShared &shared;
-    /// Called once a session, with how it ended, for metrics.
+    /// Called once for each session with its outcome, for metrics.
     std::function<void(const std::string &outcome, const std::string &reason,
                        std::chrono::microseconds took)>
         report;
 };
 
-/// Carries one caller's request to its end: turns the actions of EntryRequest.h into streams to
-/// agents, and their frames into events and into the caller's answer.
+/// Handles one caller's request: performs the actions of EntryRequest.h on streams to agents, and
+/// applies the agents' frames as events and as the caller's answer.
 class CallerSession : public std::enable_shared_from_this<CallerSession>
 {
 public:
-    /// @param over Called once, when nothing more will be done for the request.
+    /// @param closed Called once, when the request has ended.
     CallerSession(CallerSessionContext &context, std::shared_ptr<CallerExchange> exchange,
-                  CallerRequest request, std::function<void()> over);
+                  CallerRequest request, std::function<void()> closed);
 
-    /// Begins; may end at once.
+    /// Starts the request; it may end within this call.
     void start();
 
-    /// The caller hung up.
+    /// Ends the request because the caller hung up.
     void callerGone();
 
-    /// The caller took what waited for it.
+    /// Resumes reading from the agent because the caller has read what was queued for it.
     void callerDrained();
 
 private:
@@ -62,7 +62,7 @@
     CallerSessionContext &context_;
     std::shared_ptr<CallerExchange> exchange_;
     CallerRequest request_;
-    std::function<void()> over_;
+    std::function<void()> onClosed_;
     RequestState state_;
     TimePoint startedAt_;
     EventLoop::TimerId timer_ = 0;
--- a/Source/Request/EntryRequest.cpp
+++ b/Source/Request/EntryRequest.cpp
@@ -19,7 +19,7 @@
     return findCandidate(state, request.request.service, request.backendServer);
 }
 
-/// Gives back what the request holds of what the entry's requests share.
+/// Removes the request from the suspects in flight and from its organisation's concurrency.
 void releaseShared(EntryShared &shared, RequestState &request)
 {
     const Lock lock(shared.mutex);
@@ -37,7 +37,7 @@
         return;
     request.outstanding = false;
     if (Candidate *candidate = candidateOf(state, request))
-        attemptOver(*candidate, failed, now);
+        attemptEnded(*candidate, failed, now);
 }
 
 Refusal refuse(EntryShared &shared, RequestState &request, EndKind end, v1::Reason reason,
@@ -48,8 +48,8 @@
     return {end, reason, retryAfter};
 }
 
-/// The end of a request whose newest attempt surely did not run. An earlier attempt, or an earlier
-/// try of the same key through another entry, may have run all the same.
+/// The end of a request whose last attempt certainly did not run. An earlier attempt, or an earlier
+/// try of the same key through another entry, may have run nevertheless.
 EndKind endWithoutRun(const EntryState &state, const RequestState &request)
 {
     if (request.mayHaveRun && state.guards.rememberMayHaveRun)
@@ -67,7 +67,7 @@
     return refuse(shared, request, endWithoutRun(state, request), reason, retryAfter);
 }
 
-Suspicion suspicionNow(EntryShared &shared, const RequestState &request, TimePoint now)
+Suspicion currentSuspicion(EntryShared &shared, const RequestState &request, TimePoint now)
 {
     const Lock lock(shared.mutex);
     const Suspicion suspicion = suspicionOf(shared.suspects, request.request.fingerprint, now);
@@ -110,9 +110,10 @@
     return SendAttempt{backendServer, address, headOf(state, request, now)};
 }
 
-/// Whether this entry may let a suspect through to the home of its key. Homes differ from key to
-/// key, so unlike others these suspects have no one place where their standing is known: one entry
-/// alone lets them through, one at a time, and so learns of a death before the next.
+/// Whether this entry may send a suspect to the owner of its key; if so, marks it as in flight.
+/// Owners differ from key to key, so no single agent knows whether the fingerprint is quarantined.
+/// Therefore only one entry sends these suspects, one at a time, and so detects a death before it
+/// sends the next.
 bool maySendSuspectToOwner(const EntryState &state, EntryShared &shared, RequestState &request)
 {
     const std::uint64_t fingerprint = request.request.fingerprint;
@@ -124,7 +125,7 @@
     return request.holdsSuspect;
 }
 
-/// Sends a non-idempotent request to the home of its key, and to no other backend server.
+/// Sends a non-idempotent request to the owner of its key, and to no other backend server.
 EntryAction sendToOwner(EntryState &state, EntryShared &shared, RequestState &request,
                         const ServiceView &service, TimePoint now)
 {
@@ -133,7 +134,8 @@
     if (!owner)
         return refuseNotRun(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
     const Candidate *candidate = candidateNamed(service, *owner);
-    // Silence alone may be a long request; nobody else can take this one, so only failures count.
+    // Silence may just mean a long request. Only the owner can run this one, so a silent owner is
+    // used, and only failures exclude it.
     if (candidate && (!isAvailable(*candidate) || now < candidate->ejectedUntil)) {
         const auto reason = candidate->leaving ? v1::REASON_LEAVING : v1::REASON_BACKEND_DOWN;
         return refuseNotRun(state, shared, request, reason, longRetry);
@@ -143,9 +145,9 @@
     return sendTo(state, request, *owner, service.declared->ownerAddresses.at(*owner), now);
 }
 
-/// The backend server on which a suspect runs alone. All entries choose the same one, also while
-/// it is down for a moment: there the agent learns who the killer is and tells whoever comes next.
-/// Choosing another one at once would let each entry take down a backend server of its own.
+/// The backend server on which a suspect runs alone. All entries choose the same one, even while it
+/// is down briefly: its agent detects which request crashes it and reports that to later attempts.
+/// Choosing another one at once would let each entry crash a different backend server.
 std::optional<std::string> designatedFor(const ServiceView &service, std::uint64_t fingerprint,
                                          TimePoint now)
 {
@@ -197,7 +199,7 @@
         return refuseNotRun(state, shared, request, v1::REASON_WRONG_SERVICE, milliseconds(0));
     if (now >= request.deadline)
         return refuseNotRun(state, shared, request, v1::REASON_DEADLINE, milliseconds(0));
-    const Suspicion suspicion = suspicionNow(shared, request, now);
+    const Suspicion suspicion = currentSuspicion(shared, request, now);
     if (suspicion == Suspicion::Quarantined)
         return refuseNotRun(state, shared, request, v1::REASON_CONVICTED, quarantineTime);
     request.runAlone = suspicion == Suspicion::Suspect;
@@ -221,14 +223,14 @@
     return spendRetry(shared.retryBudgets[request.request.service]);
 }
 
-/// Sends again after an attempt that surely did not run, or ends the request.
+/// Sends again after an attempt that certainly did not run, or ends the request.
 EntryAction retryNotRun(EntryState &state, EntryShared &shared, RequestState &request,
                         v1::Reason reason, milliseconds retryAfter, TimePoint now)
 {
     if (!mayRetry(state, shared, request))
         return refuseNotRun(state, shared, request, reason, retryAfter);
     EntryAction next = sendNext(state, shared, request, now);
-    // What the agent said tells the caller more than that nobody else is left.
+    // The agent's reason is more useful to the caller than that no other server is left.
     if (auto *refusal = std::get_if<Refusal>(&next)) {
         if (refusal->reason == v1::REASON_NO_BACKEND_SERVER) {
             refusal->reason = reason;
@@ -249,8 +251,8 @@
     return sendNext(state, shared, request, now);
 }
 
-/// Records that the backend server died under the request.
-void witnessDeath(EntryShared &shared, const RequestState &request, TimePoint now)
+/// Records that the backend server died while it ran the request.
+void recordBackendDeath(EntryShared &shared, const RequestState &request, TimePoint now)
 {
     const std::string attempt = request.request.id + std::to_string(request.attempt);
     const Lock lock(shared.mutex);
@@ -258,9 +260,10 @@
                 pairHash(request.backendServer, attempt), request.runAlone, now);
 }
 
-/// Learns from an agent that knew of a suspicion before this entry did.
-void learnSuspicion(EntryShared &shared, const RequestState &request, v1::Reason reason,
-                    TimePoint now)
+/// Records the suspicion if the agent gave it as the reason of its refusal: this entry may not have
+/// received it by heartbeat yet.
+void recordReportedSuspicion(EntryShared &shared, const RequestState &request, v1::Reason reason,
+                             TimePoint now)
 {
     if (reason != v1::REASON_SUSPECT && reason != v1::REASON_CONVICTED)
         return;
@@ -274,11 +277,11 @@
                           const v1::Verdict &verdict, TimePoint now)
 {
     endAttempt(state, request, false, now);
-    learnSuspicion(shared, request, verdict.reason(), now);
+    recordReportedSuspicion(shared, request, verdict.reason(), now);
     const milliseconds retryAfter(verdict.retry_after_ms());
     if (request.request.idempotent)
         return retryNotRun(state, shared, request, verdict.reason(), retryAfter, now);
-    // The home vouches for the key: it did not run and no try so far will.
+    // The owner guarantees that the key has not run and that no try so far will.
     const EndKind end = request.mayHaveRun && state.guards.rememberMayHaveRun
         ? EndKind::OutcomeUnknown
         : EndKind::NotRun;
@@ -300,11 +303,11 @@
     default:
         break;
     }
-    // Unknown kinds of newer releases count as the kind that promises least.
+    // Verdict kinds of newer releases are handled like an unknown outcome, which promises least.
     const bool died = verdict.reason() == v1::REASON_BACKEND_DIED;
     endAttempt(state, request, died, now);
     if (died)
-        witnessDeath(shared, request, now);
+        recordBackendDeath(shared, request, now);
     if (!request.request.idempotent) {
         return refuse(shared, request, EndKind::OutcomeUnknown, verdict.reason(),
                       milliseconds(verdict.retry_after_ms()));
@@ -312,12 +315,12 @@
     return retryMayHaveRun(state, shared, request, verdict.reason(), now);
 }
 
-/// An `end` frame: evidence of a death, or an answer that ended before it began.
+/// Applies an `end` frame: records a death that it reports, and retries if no answer had begun.
 EntryAction applyEnd(EntryState &state, EntryShared &shared, RequestState &request,
                      const v1::AnswerEnd &end, TimePoint now)
 {
     if (!end.complete() && end.reason() == v1::REASON_BACKEND_DIED)
-        witnessDeath(shared, request, now);
+        recordBackendDeath(shared, request, now);
     if (request.answering)
         return Nothing();
     endAttempt(state, request, true, now);
@@ -370,7 +373,7 @@
         declared.max_body_bytes() > 0 && caller.bodyBytes > declared.max_body_bytes();
     if (badKey || tooLarge)
         return refuseNotRun(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
-    if (suspicionNow(shared, request, now) == Suspicion::Quarantined)
+    if (currentSuspicion(shared, request, now) == Suspicion::Quarantined)
         return refuseNotRun(state, shared, request, v1::REASON_CONVICTED, quarantineTime);
     if (auto refused = refusedByOrganisation(state, shared, request, now))
         return *refused;
@@ -381,8 +384,8 @@
 {
     if (!request.outstanding)
         return false;
-    // A late answer of an abandoned attempt, or one of another request on a mixed-up stream, must
-    // not reach this caller.
+    // A late answer of an abandoned attempt, or an answer of another request that was delivered on
+    // the wrong stream, must not reach this caller.
     const bool same =
         frame.request_id() == request.request.id && frame.attempt() == request.attempt;
     return same || !state.guards.dropForeignFrames;
@@ -394,7 +397,7 @@
     if (!belongsTo(state, request, frame))
         return Nothing();
     if (Candidate *candidate = candidateOf(state, request)) {
-        attemptHeard(*candidate, now);
+        attemptFrameReceived(*candidate, now);
         if (frame.has_load())
             applyLoad(*candidate, frame.load(), now);
     }
@@ -407,9 +410,9 @@
     return applyVerdict(state, shared, request, frame.verdict(), now);
 }
 
-bool answerIsWhole(const RequestState &request, const v1::AnswerEnd &end)
+bool isAnswerComplete(const RequestState &request, const v1::AnswerEnd &end)
 {
-    // A chunk that was lost, doubled or overtaken shows as another count of bytes.
+    // A lost, duplicated or reordered chunk changes the number of bytes that were counted.
     return end.complete() && end.bytes() == request.answerBytes;
 }
 
@@ -460,7 +463,7 @@
     releaseShared(shared, request);
 }
 
-void observeSuspects(EntryShared &shared, const v1::Heartbeat &heartbeat, TimePoint now)
+void mergeSuspects(EntryShared &shared, const v1::Heartbeat &heartbeat, TimePoint now)
 {
     const Lock lock(shared.mutex);
     for (const v1::SuspectReport &report : heartbeat.suspects())
--- a/Source/Request/EntryRequest.h
+++ b/Source/Request/EntryRequest.h
@@ -11,17 +11,17 @@
 
 /// Ends of a request that got no answer.
 enum class EndKind {
-    NotRun, ///< Proved not to have run and never to run.
+    NotRun, ///< Proved that it has not run and never will.
     OutcomeUnknown, ///< May have run.
-    AlreadyRun, ///< The key ran before; its answer is no longer held.
+    AlreadyRun, ///< The key ran before; its answer is no longer stored.
 };
 
-/// Tell the caller that there is no answer.
+/// End the request at the caller with an error instead of an answer.
 struct Refusal
 {
     EndKind end = EndKind::NotRun;
     v1::Reason reason = v1::REASON_UNSPECIFIED;
-    /// When another try may help; zero when none will.
+    /// Time after which another try may succeed; zero if none will.
     milliseconds retryAfter{0};
 };
 
@@ -47,75 +47,77 @@
 
 using EntryAction = std::variant<Nothing, SendAttempt, Refusal, StartAnswer>;
 
-/// Takes a version of the configuration into force. Versions that are not newer are ignored.
-/// Beliefs about backend servers that stay declared at the same address are kept.
+/// Puts a version of the configuration into force. Versions that are not newer are ignored.
+/// The state of backend servers that stay declared at the same address is kept.
 void setConfiguration(EntryState &state, EntryShared &shared, const ConfigState &config,
                       TimePoint now);
 
-/// Tells which entries share the work, this one included; sizes of subsets and static shares of
-/// organisations' limits follow from it. Takes effect at once.
+/// Sets the names of all entries that serve callers, this one included. They determine the subset
+/// of backend servers and the static shares of organisations' limits. Takes effect at once.
 void setEntries(EntryState &state, EntryShared &shared, const std::vector<std::string> &names,
                 TimePoint now);
 
-/// Admits, limits and routes a new request. `request` must be fresh.
+/// Admits, limits and routes a new request. `request` must be newly constructed.
 /// @return SendAttempt or Refusal.
 EntryAction startRequest(EntryState &state, EntryShared &shared, RequestState &request,
                          const CallerRequest &caller, TimePoint now);
 
-/// Whether the frame answers the request's outstanding attempt. Chunks that do not are dropped.
+/// Whether the frame belongs to the request's outstanding attempt. Other frames must be dropped.
 bool belongsTo(const EntryState &state, const RequestState &request, const v1::AgentFrame &frame);
 
-/// Takes a frame of an agent: its load, its verdict, or evidence in its end. Feed every frame,
-/// chunks included; frames of other requests or attempts give Nothing. After an `end` frame that
-/// follows StartAnswer also call answerEnded().
+/// Applies a frame of an agent: its load report, its verdict, or a death reported by its end. Call
+/// it with every frame, chunks included; frames of other requests or attempts return Nothing. After
+/// an `end` frame that follows StartAnswer also call answerEnded().
 EntryAction attemptVerdict(EntryState &state, EntryShared &shared, RequestState &request,
                            const v1::AgentFrame &frame, TimePoint now);
 
-/// Whether the answer that the end frame closes arrived whole. Every chunk frame must have been fed
-/// to attemptVerdict().
-bool answerIsWhole(const RequestState &request, const v1::AnswerEnd &end);
+/// Whether the answer that the end frame closes arrived completely. Every chunk frame must have
+/// been passed to attemptVerdict().
+bool isAnswerComplete(const RequestState &request, const v1::AnswerEnd &end);
 
-/// The attempt's stream or connection failed before a verdict. After StartAnswer call
-/// answerEnded() instead.
+/// Retries or ends the request after the attempt's stream or connection failed before a verdict.
+/// After StartAnswer call answerEnded() instead.
 /// @param mayHaveReachedAgent False only if no byte of the attempt was handed to the socket.
 EntryAction attemptLost(EntryState &state, EntryShared &shared, RequestState &request,
                         bool mayHaveReachedAgent, TimePoint now);
 
-/// The caller's deadline passed. Before StartAnswer gives the Refusal; afterwards Nothing, and the
-/// shell cuts the answer and calls answerEnded(). Cancel the outstanding stream in both cases.
+/// Ends the request because the caller's deadline has passed. Cancel the outstanding stream in any
+/// case.
+/// @return The Refusal before StartAnswer. Afterwards Nothing, and the I/O layer cuts the answer
+/// and calls answerEnded().
 EntryAction deadlinePassed(EntryState &state, EntryShared &shared, RequestState &request,
                            TimePoint now);
 
-/// The answer that StartAnswer began is over.
-/// @param complete False when it was cut.
+/// Records the end of the answer that StartAnswer began.
+/// @param complete False if it was cut.
 void answerEnded(EntryState &state, EntryShared &shared, RequestState &request, bool complete,
                  TimePoint now);
 
-/// The caller hung up; cancel the outstanding stream.
+/// Ends the request because the caller hung up. Cancel the outstanding stream.
 void callerLeft(EntryState &state, EntryShared &shared, RequestState &request, TimePoint now);
 
-/// Takes a load report that came with a heartbeat.
+/// Applies a load report that arrived with a heartbeat.
 void observeLoad(EntryState &state, const std::string &backendServer, const v1::LoadReport &load,
                  std::uint64_t configVersion, TimePoint now);
 
-/// A heartbeat to the backend server's agent was not answered.
+/// Records that the backend server's agent did not answer a heartbeat.
 void observeUnreachable(EntryState &state, const std::string &backendServer, TimePoint now);
 
-/// Takes in which VMs the platform's list names as leaving or no more. Backend servers on others
-/// are asked again.
+/// Sets the VMs that the platform lists as leaving or no longer lists. Backend servers on other VMs
+/// are eligible again.
 void observeVms(EntryState &state, const std::set<std::string> &leaving);
 
 /// VMs of the backend servers that this entry routes to.
 std::set<std::string> routedVms(const EntryState &state);
 
-/// Names of the backend servers that this entry routes to and so sends heartbeats.
+/// Names of the backend servers that this entry routes to and therefore sends heartbeats to.
 std::vector<std::string> heartbeatTargets(const EntryState &state);
 
 /// Agent address of a declared backend server; empty when it is not declared.
 std::string agentAddress(const EntryState &state, const std::string &backendServer);
 
-/// Takes in the suspects that a heartbeat reported.
-void observeSuspects(EntryShared &shared, const v1::Heartbeat &heartbeat, TimePoint now);
+/// Merges the suspects that a heartbeat reported.
+void mergeSuspects(EntryShared &shared, const v1::Heartbeat &heartbeat, TimePoint now);
 
 /// Suspects to report with a heartbeat.
 std::vector<v1::SuspectReport> suspectsToReport(EntryShared &shared, TimePoint now);
--- a/Source/Request/EntryState.h
+++ b/Source/Request/EntryState.h
@@ -20,7 +20,7 @@
 
 namespace wisteria {
 
-/// What a caller asked for, as the HTTP side read it.
+/// A caller's request as parsed from HTTP.
 struct CallerRequest
 {
     /// Identity of the request, 16 random bytes chosen by the entry.
@@ -28,13 +28,13 @@
     std::string service;
     std::string organisation;
     std::uint32_t priority = 0;
-    /// Time the caller gives it; zero for the service's default.
+    /// Time limit set by the caller; zero for the service's default.
     milliseconds deadline{0};
     bool idempotent = true;
     /// UUID version 7 of a non-idempotent request.
     std::string key;
-    /// The caller's own count of its tries with this key; 1 says that the key is new, 0 that the
-    /// caller did not say.
+    /// Number of this try with the key, as the caller counts; 1 means that the key is new, 0 that
+    /// the caller does not count.
     std::uint32_t callerAttempt = 0;
     /// Hash of service and body.
     std::uint64_t fingerprint = 0;
@@ -50,14 +50,14 @@
     v1::RoutingPolicy policy;
     /// Declared backend servers that are not draining.
     std::vector<v1::BackendServer> servers;
-    /// The agents' addresses of `servers`, each of which may be home of a key.
+    /// The agents' addresses of `servers` by name; each of them may own a key.
     std::map<std::string, std::string> ownerAddresses;
     /// The names of `ownerAddresses`, for rendezvous hashing.
     std::vector<std::string> ownerNames;
 };
 
-/// What routing needs of one version of the configuration. Built once and never changed, so that
-/// all threads of an entry share it: a copy for each would not fit into an entry's memory.
+/// The part of one version of the configuration that routing needs. Immutable, so that all threads
+/// of an entry share it: a copy for each would not fit into an entry's memory.
 struct DeclaredRouting
 {
     std::uint64_t version = 0;
@@ -70,14 +70,14 @@
 {
     /// Owned by EntryState::declared.
     const DeclaredService *declared = nullptr;
-    /// Beliefs about the backend servers of this entry's subset.
+    /// The last known state of the backend servers of this entry's subset.
     std::vector<Candidate> candidates;
 };
 
 /// Routing state of one traffic thread.
 struct EntryState
 {
-    /// Name of this entry, and of all entries that share the work; both from settings.
+    /// Name of this entry, and names of all entries that serve callers; both from settings.
     std::string ownName;
     std::vector<std::string> entryNames;
     /// Failure domain of this entry's VM.
@@ -89,8 +89,8 @@
     std::map<std::string, ServiceView> services;
 };
 
-/// What the traffic threads of an entry share. The functions of EntryRequest.h lock `mutex`
-/// themselves; other users of the members lock it too.
+/// State that the traffic threads of an entry share. The functions of EntryRequest.h lock `mutex`
+/// themselves; other users of the members must lock it too.
 struct EntryShared
 {
     std::mutex mutex;
@@ -115,16 +115,16 @@
     std::string backendServer;
     TimePoint sentAt;
     std::vector<std::string> tried;
-    /// Counted against the organisation's concurrency.
+    /// Whether the request counts against the organisation's concurrency.
     bool admitted = false;
     bool outstanding = false;
     bool answering = false;
     bool runAlone = false;
-    /// Stands in `suspectsInFlight`.
+    /// Whether its fingerprint is in `suspectsInFlight`.
     bool holdsSuspect = false;
-    /// An attempt of this request may have run: no later refusal may say that it did not.
+    /// An attempt of this request may have run, so no later refusal may be NotRun.
     bool mayHaveRun = false;
-    /// Bytes of the answer's chunks seen so far.
+    /// Bytes of the answer's chunks received so far.
     std::uint64_t answerBytes = 0;
     bool ended = false;
 };
--- a/Source/Request/KeyHashing.cpp
+++ b/Source/Request/KeyHashing.cpp
@@ -77,7 +77,7 @@
     std::uint64_t bestHash = 0;
     for (const std::string &member : members) {
         const std::uint64_t hash = pairHash(member, key);
-        // Equal hashes are settled by name, so that the order of members does not matter.
+        // Ties are broken by name, so that the order of members does not matter.
         if (!best || hash > bestHash || (hash == bestHash && member < *best)) {
             best = &member;
             bestHash = hash;
--- a/Source/Request/KeyHashing.h
+++ b/Source/Request/KeyHashing.h
@@ -10,24 +10,24 @@
 
 namespace wisteria {
 
-/// Largest difference between the wall clocks of any two VMs that at-most-once relies on.
-/// A deployment whose clocks differ by more may run a request twice after a home restarts.
+/// Largest difference between the wall clocks of any two VMs at which at-most-once execution holds.
+/// If clocks differ by more, a request may run twice after the owner of its key restarts.
 constexpr milliseconds clockSkewAllowance{2000};
 
-/// Hash of two texts; the same on every process and release.
+/// Hash of two texts; the same in every process and release.
 std::uint64_t pairHash(std::string_view first, std::string_view second);
 
 /// Creation time that a UUID version 7 (RFC 9562, text form) carries.
-/// @return Nothing when the text is no UUID version 7.
+/// @return Nothing if the text is not a UUID version 7.
 std::optional<WallTime> keyTime(std::string_view key);
 
-/// The key in lower case, as homes are chosen and keys remembered: the case of hexadecimal digits
-/// does not make another UUID.
+/// The key in lower case, which is the form used to choose its owner and to record it, because
+/// UUIDs that differ only in the case of hexadecimal digits are equal.
 std::string canonicalKey(std::string_view key);
 
 /// The member with the highest rendezvous hash for the key. Removing another member never moves
-/// the key; adding one moves it only to that one.
-/// @return Nothing when there are no members.
+/// the key, and adding one can only move it to the added one.
+/// @return Nothing if there are no members.
 std::optional<std::string> rendezvousChoice(std::string_view key,
                                             const std::vector<std::string> &members);
 
--- a/Source/Request/KeyMemory.cpp
+++ b/Source/Request/KeyMemory.cpp
@@ -19,8 +19,8 @@
     record.answer.reset();
 }
 
-/// Forgets the oldest key. Raising the floor to its time keeps a repeat of it from running.
-void forgetOldest(KeyMemory &memory)
+/// Removes the oldest key. The floor rises to its time, so that a repeat of it does not run.
+void evictOldest(KeyMemory &memory)
 {
     const auto oldest = memory.records.begin();
     memory.floor = std::max(memory.floor, oldest->first.first);
@@ -42,15 +42,15 @@
     return {time, organisation + '\0' + key};
 }
 
-KeyRecord &rememberKey(KeyMemory &memory, const KeyId &id)
+KeyRecord &findOrAddKey(KeyMemory &memory, const KeyId &id)
 {
     const auto found = memory.records.find(id);
     if (found != memory.records.end())
         return found->second;
-    // A key older than all that are remembered falls below the floor by this; it is refused then
-    // whether it is remembered or not.
+    // This may raise the floor above a new key that is older than all recorded ones. It is refused
+    // then, whether it is recorded or not.
     if (memory.records.size() >= maxKeys)
-        forgetOldest(memory);
+        evictOldest(memory);
     return memory.records[id];
 }
 
--- a/Source/Request/KeyMemory.h
+++ b/Source/Request/KeyMemory.h
@@ -11,17 +11,17 @@
 
 namespace wisteria {
 
-/// Largest answer that is kept for a repeat, in bytes.
+/// Largest answer that is stored for a repeat, in bytes.
 constexpr std::size_t maxStoredAnswerBytes = 16 * 1024;
-/// Bytes of all answers kept for repeats; the oldest give way.
+/// Bytes of all answers stored for repeats; the oldest are evicted first.
 constexpr std::size_t maxStoredBytes = 8 * 1024 * 1024;
-/// Keys remembered; when full, the oldest are forgotten and every key as old is refused.
+/// Keys that are recorded. Beyond it the oldest are evicted, and every key as old is refused.
 constexpr std::size_t maxKeys = 50'000;
 
-/// Keys further ahead of the home's clock than this are refused without being remembered.
-constexpr seconds rememberAhead{60};
+/// Keys further ahead of the owner's clock than this are refused without being recorded.
+constexpr seconds maxRecordedLead{60};
 
-/// An answer kept for repeats of its key.
+/// An answer stored for repeats of its key.
 struct StoredAnswer
 {
     std::uint32_t httpStatus = 0;
@@ -29,50 +29,52 @@
     std::string body;
 };
 
-/// What became of a key at its home.
+/// State of a key at its owner.
 enum class KeyPhase {
-    Refused, ///< Never handed to the backend server.
+    Refused, ///< Never sent to the backend server.
     InFlight, ///< Queued or running.
     Ran, ///< Ran to its end.
-    Unknown, ///< Was handed to the backend server and no end was seen.
+    Unknown, ///< Was sent to the backend server, but its end was not seen.
 };
 
-/// One remembered key.
+/// One recorded key.
 struct KeyRecord
 {
     KeyPhase phase = KeyPhase::Refused;
-    /// Highest of the caller's tries that was refused; this and older ones never run.
+    /// Number of the caller's latest try that was refused; this and earlier ones never run.
     std::uint32_t refusedTry = 0;
-    /// Tells a repeat from another request under the same key.
+    /// Distinguishes a repeat from a different request under the same key.
     std::uint64_t fingerprint = 0;
     std::optional<StoredAnswer> answer;
 };
 
-/// Identity of a key: its time first, so that the oldest come first; then organisation and key, so
-/// that no organisation sees another's answers.
+/// Identity of a key: its creation time, so that the oldest sort first, then organisation and key,
+/// so that no organisation gets another's answers.
 using KeyId = std::pair<WallTime, std::string>;
 
 /// Builds the identity of a key.
 KeyId keyId(WallTime time, const std::string &organisation, const std::string &key);
 
-/// Keys that this process handled as their home. Bounded: what is forgotten raises `floor`, so a
-/// forgotten key is refused and never runs again.
+/// Keys that this process handled as their owner. Bounded: an evicted key raises `floor`, so it is
+/// refused and never runs again.
 struct KeyMemory
 {
     std::map<KeyId, KeyRecord> records;
-    /// Keys of this time and older may have run without being remembered here.
+    /// Keys of this time and older may have run without being recorded here.
     WallTime floor;
+    /// Keys with a stored answer, oldest answer first.
     std::deque<KeyId> answerOrder;
     std::size_t answerBytes = 0;
 };
 
-/// The record of a key, created when absent. Forgets the oldest keys when the memory is full.
-KeyRecord &rememberKey(KeyMemory &memory, const KeyId &id);
+/// The record of a key, created if absent. Evicts the oldest key when the memory is full.
+KeyRecord &findOrAddKey(KeyMemory &memory, const KeyId &id);
 
 /// The record of a key, or null.
 KeyRecord *findKey(KeyMemory &memory, const KeyId &id);
 
-/// Keeps an answer for repeats if it is small enough; older answers give way.
+/// Stores the answer of a recorded key for repeats if it has at most maxStoredAnswerBytes. Evicts
+/// the oldest answers beyond maxStoredBytes.
 void storeAnswer(KeyMemory &memory, const KeyId &id, StoredAnswer answer);
 
 } // namespace wisteria
--- a/Source/Request/KeyOwnership.cpp
+++ b/Source/Request/KeyOwnership.cpp
@@ -13,11 +13,11 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-/// Members that may have run keys which are ours in the new version. Rendezvous hashing moves a
-/// key to an old member only when its former home is no longer a member.
-std::vector<Release> releasesWanted(const KeyOwnership &ownership,
-                                    const std::vector<std::string> &newNames, bool everyMember,
-                                    std::uint64_t version)
+/// Members that may have run keys which this backend server owns in the new version. Rendezvous
+/// hashing moves a key to an existing member only if its former owner is no longer a member.
+std::vector<Release> requiredReleases(const KeyOwnership &ownership,
+                                      const std::vector<std::string> &newNames, bool everyMember,
+                                      std::uint64_t version)
 {
     std::vector<Release> releases;
     for (const OwnerCandidate &member : ownership.members) {
@@ -29,10 +29,10 @@
     return releases;
 }
 
-/// Joins the two oldest sets into one that blocks at least what they blocked.
-void joinOldest(std::vector<FormerSet> &former)
+/// Merges the two oldest sets into one that blocks at least the keys that they blocked.
+void mergeOldest(std::vector<FormerOwners> &former)
 {
-    FormerSet &first = former[0];
+    FormerOwners &first = former[0];
     first.anyMember = true;
     first.names.clear();
     first.releases.insert(first.releases.end(), former[1].releases.begin(),
@@ -40,13 +40,13 @@
     former.erase(former.begin() + 1);
 }
 
-void addFormer(KeyOwnership &ownership, FormerSet set)
+void addFormerOwners(KeyOwnership &ownership, FormerOwners set)
 {
     if (set.releases.empty())
         return;
     ownership.former.push_back(std::move(set));
-    if (ownership.former.size() > maxFormerSets)
-        joinOldest(ownership.former);
+    if (ownership.former.size() > maxFormerOwnerSets)
+        mergeOldest(ownership.former);
 }
 
 std::vector<std::string> namesOf(const std::vector<OwnerCandidate> &members)
@@ -57,34 +57,34 @@
     return names;
 }
 
-KeyRight rightAfter(const Release &release, WallTime time)
+OwnershipStatus statusAfter(const Release &release, WallTime time)
 {
     if (!release.releasedAt)
-        return KeyRight::Unproven;
-    // The release was seen by our clock, the key made by the caller's, and the former home let no
-    // key in that was ahead of its own clock by more than the allowance.
+        return OwnershipStatus::Unproven;
+    // The release time is of our clock, which may differ from the former owner's by the allowance,
+    // and the former owner accepted keys ahead of its clock by at most the allowance, hence twice.
     if (time <= *release.releasedAt + 2 * clockSkewAllowance)
-        return KeyRight::TooOld;
-    return KeyRight::Mine;
+        return OwnershipStatus::TooOld;
+    return OwnershipStatus::Owned;
 }
 
-KeyRight rightAfter(const FormerSet &set, const KeyOwnership &ownership, std::string_view key,
-                    WallTime time)
+OwnershipStatus statusAfter(const FormerOwners &set, const KeyOwnership &ownership,
+                            std::string_view key, WallTime time)
 {
-    KeyRight right = KeyRight::Mine;
+    OwnershipStatus status = OwnershipStatus::Owned;
     const auto owner = set.anyMember ? std::nullopt : rendezvousChoice(key, set.names);
     if (owner && *owner == ownership.ownName)
-        return right;
+        return status;
     for (const Release &release : set.releases) {
         if (owner && release.member.name != *owner)
             continue;
-        const KeyRight after = rightAfter(release, time);
-        if (after == KeyRight::Unproven)
+        const OwnershipStatus after = statusAfter(release, time);
+        if (after == OwnershipStatus::Unproven)
             return after;
-        if (after == KeyRight::TooOld)
-            right = after;
+        if (after == OwnershipStatus::TooOld)
+            status = after;
     }
-    return right;
+    return status;
 }
 
 } // namespace
@@ -94,14 +94,15 @@
 {
     const std::vector<std::string> newNames = namesOf(members);
     if (!ownership.begun || !everyVersionSeen) {
-        // What was declared before is not known: any declared member may have been the home.
+        // The previous declaration is not known, so any declared member may have been the owner.
         ownership.members = members;
-        addFormer(ownership, {{}, true, releasesWanted(ownership, newNames, true, version)});
+        addFormerOwners(ownership,
+                        {{}, true, requiredReleases(ownership, newNames, true, version)});
     } else {
         const bool wasMember = contains(ownership.names, ownership.ownName);
-        addFormer(
+        addFormerOwners(
             ownership,
-            {ownership.names, false, releasesWanted(ownership, newNames, !wasMember, version)});
+            {ownership.names, false, requiredReleases(ownership, newNames, !wasMember, version)});
     }
     ownership.members = members;
     ownership.names = newNames;
@@ -114,25 +115,25 @@
     return owner && *owner == ownership.ownName;
 }
 
-KeyRight rightTo(const KeyOwnership &ownership, std::string_view key, WallTime time)
+OwnershipStatus ownershipStatus(const KeyOwnership &ownership, std::string_view key, WallTime time)
 {
     if (!isOwner(ownership, key))
-        return KeyRight::NotOwner;
-    KeyRight right = KeyRight::Mine;
-    for (const FormerSet &set : ownership.former) {
-        const KeyRight after = rightAfter(set, ownership, key, time);
-        if (after == KeyRight::Unproven)
+        return OwnershipStatus::NotOwner;
+    OwnershipStatus status = OwnershipStatus::Owned;
+    for (const FormerOwners &set : ownership.former) {
+        const OwnershipStatus after = statusAfter(set, ownership, key, time);
+        if (after == OwnershipStatus::Unproven)
             return after;
-        if (after == KeyRight::TooOld)
-            right = after;
+        if (after == OwnershipStatus::TooOld)
+            status = after;
     }
-    return right;
+    return status;
 }
 
-std::vector<HandoverWanted> pendingReleases(const KeyOwnership &ownership)
+std::vector<HandoverRequest> pendingReleases(const KeyOwnership &ownership)
 {
-    std::vector<HandoverWanted> wanted;
-    for (const FormerSet &set : ownership.former) {
+    std::vector<HandoverRequest> wanted;
+    for (const FormerOwners &set : ownership.former) {
         for (const Release &release : set.releases) {
             if (release.releasedAt)
                 continue;
@@ -146,10 +147,10 @@
     return wanted;
 }
 
-void released(KeyOwnership &ownership, const std::string &formerOwner, std::uint64_t version,
-              WallTime wall)
+void noteReleased(KeyOwnership &ownership, const std::string &formerOwner, std::uint64_t version,
+                  WallTime wall)
 {
-    for (FormerSet &set : ownership.former) {
+    for (FormerOwners &set : ownership.former) {
         for (Release &release : set.releases) {
             const bool covered = release.member.name == formerOwner && release.version <= version;
             if (covered && !release.releasedAt)
@@ -158,9 +159,9 @@
     }
 }
 
-void releasedByVm(KeyOwnership &ownership, const std::string &vm, WallTime wall)
+void releaseByVm(KeyOwnership &ownership, const std::string &vm, WallTime wall)
 {
-    for (FormerSet &set : ownership.former) {
+    for (FormerOwners &set : ownership.former) {
         for (Release &release : set.releases) {
             if (release.member.vm == vm && !release.releasedAt)
                 release.releasedAt = wall;
--- a/Source/Request/KeyOwnership.h
+++ b/Source/Request/KeyOwnership.h
@@ -12,11 +12,12 @@
 
 namespace wisteria {
 
-/// Sets of homes that are remembered while keys of their time may still be repeated.
-constexpr std::size_t maxFormerSets = 16;
+/// Number of former sets of owners that are kept, because keys of their time may still be repeated.
+/// Beyond it the two oldest are merged.
+constexpr std::size_t maxFormerOwnerSets = 16;
 
-/// A former home that a new home has to ask.
-struct HandoverWanted
+/// Handover request that a new owner sends to a former one.
+struct HandoverRequest
 {
     std::string formerOwner;
     std::string address;
@@ -24,7 +25,7 @@
     v1::KeyHandover message;
 };
 
-/// One declared backend server as a possible home.
+/// One declared backend server as a possible owner of keys.
 struct OwnerCandidate
 {
     std::string name;
@@ -34,64 +35,69 @@
     bool operator==(const OwnerCandidate &) const = default;
 };
 
-/// Whether and when a former home released its keys.
+/// Whether and when a former owner released its keys.
 struct Release
 {
     OwnerCandidate member;
+    /// Version of the configuration from which on the keys belong to the new owner.
     std::uint64_t version = 0;
     std::optional<WallTime> releasedAt;
 };
 
-/// The homes before a change, and who of them has released its keys since.
-struct FormerSet
+/// The owners before a change, and which of them have released their keys since.
+struct FormerOwners
 {
     std::vector<std::string> names;
-    /// Set at the process's start, when what was declared before is not known: any other declared
-    /// backend server may have been the home.
+    /// Any other declared backend server may have been the owner, because the previous declaration
+    /// is not known (at the process's start or after an unseen version), or because sets were
+    /// merged.
     bool anyMember = false;
     std::vector<Release> releases;
 };
 
-/// Which keys a home may run, given who was home before.
+/// Keys that a backend server owns by the version in force, and former owners that may have run
+/// them before.
 struct KeyOwnership
 {
     std::string ownName;
     std::string service;
     std::vector<OwnerCandidate> members;
+    /// The names of `members`.
     std::vector<std::string> names;
-    std::vector<FormerSet> former;
+    std::vector<FormerOwners> former;
+    /// Whether a version has been set.
     bool begun = false;
 };
 
-/// What tenure says of a key.
-enum class KeyRight {
-    Mine, ///< No other home can have run it.
-    NotOwner, ///< Another backend server is its home.
-    Unproven, ///< A former home has not yet released it.
-    TooOld, ///< A former home may have run it before it released its keys.
+/// Whether a key may run here, by the present and the former owners.
+enum class OwnershipStatus {
+    Owned, ///< It is owned here and no other owner can have run it.
+    NotOwner, ///< Another backend server is its owner.
+    Unproven, ///< A former owner has not released it yet.
+    TooOld, ///< A former owner may have run it before it released its keys.
 };
 
-/// Takes the declared homes of a version into force.
-/// @param everyVersionSeen Whether this process had the version just before in force. If not, an
-/// unseen version may have given keys to a home that is no longer declared.
+/// Puts the declared owners of a version into force.
+/// @param everyVersionSeen Whether the preceding version was in force in this process. If not, an
+/// unseen version may have assigned keys to an owner that is no longer declared.
 void setOwnerCandidates(KeyOwnership &ownership, const std::vector<OwnerCandidate> &members,
                         std::uint64_t version, bool everyVersionSeen);
 
-/// What tenure says of the key.
-/// @param time The key's own time.
-KeyRight rightTo(const KeyOwnership &ownership, std::string_view key, WallTime time);
+/// Returns whether the key may run here, by the present and the former owners.
+/// @param time Creation time that the key carries.
+OwnershipStatus ownershipStatus(const KeyOwnership &ownership, std::string_view key, WallTime time);
 
-/// Whether this backend server is the key's home.
+/// Whether this backend server owns the key.
 bool isOwner(const KeyOwnership &ownership, std::string_view key);
 
-/// Former homes that have not released their keys.
-std::vector<HandoverWanted> pendingReleases(const KeyOwnership &ownership);
+/// Handover requests to former owners that have not released their keys.
+std::vector<HandoverRequest> pendingReleases(const KeyOwnership &ownership);
 
-/// Records that a former home released its keys of all versions up to `version`.
-void released(KeyOwnership &ownership, const std::string &formerOwner, std::uint64_t version,
-              WallTime wall);
+/// Records that a former owner released its keys of all versions up to `version`.
+void noteReleased(KeyOwnership &ownership, const std::string &formerOwner, std::uint64_t version,
+                  WallTime wall);
 
-/// Records that a VM is gone.
-void releasedByVm(KeyOwnership &ownership, const std::string &vm, WallTime wall);
+/// Records that a VM is gone, so that former owners on it can run no key any more.
+void releaseByVm(KeyOwnership &ownership, const std::string &vm, WallTime wall);
 
 } // namespace wisteria
--- a/Source/Request/OrganisationLimits.cpp
+++ b/Source/Request/OrganisationLimits.cpp
@@ -16,7 +16,7 @@
     return std::max<std::size_t>(limits.entryNames.size(), 1);
 }
 
-/// This entry's place among all entries; the remainder of a division goes to the first ones.
+/// This entry's position among all entries; the remainder of a division goes to the first ones.
 std::size_t entryRank(const OrganisationLimits &limits)
 {
     return std::count_if(limits.entryNames.begin(), limits.entryNames.end(),
@@ -29,7 +29,7 @@
     const bool isNew = use.share.capacity == 0;
     refill(use.share, now);
     use.share.rate = use.declared.requests_per_second() / entries;
-    // At least one, or nothing would ever be admitted.
+    // At least one token, or no request would ever be admitted.
     use.share.capacity = std::max(1.0, use.declared.burst() / entries);
     use.share.tokens = isNew ? use.share.capacity : std::min(use.share.tokens, use.share.capacity);
     use.share.refilledAt = now;
@@ -42,25 +42,25 @@
     return now < use.grantUntil;
 }
 
-bool isAtRest(const OrganisationUse &use, TimePoint now)
+bool isIdle(const OrganisationUse &use, TimePoint now)
 {
     return !use.used && use.inFlight == 0 && !hasGrant(use, now);
 }
 
 bool isCallDue(const OrganisationUse &use, TimePoint now)
 {
-    const bool hungry = use.refused > 0 || (hasGrant(use, now) && use.granted == 0);
-    return now - use.lastCall >= (hungry ? hungryInterval : grantInterval);
+    const bool urgent = use.refused > 0 || (hasGrant(use, now) && use.granted == 0);
+    return now - use.lastCall >= (urgent ? urgentGrantInterval : grantInterval);
 }
 
-/// Takes organisations that rest, or are no longer declared, off the list of those in use.
-void dropResting(OrganisationLimits &limits, TimePoint now)
+/// Removes organisations that are idle or no longer declared from the list of active ones.
+void removeIdle(OrganisationLimits &limits, TimePoint now)
 {
     std::erase_if(limits.active, [&](const std::string &name) {
         const auto found = limits.uses.find(name);
         if (found == limits.uses.end())
             return true;
-        if (isAtRest(found->second, now))
+        if (isIdle(found->second, now))
             found->second.listed = false;
         return !found->second.listed;
     });
@@ -126,18 +126,19 @@
     const std::uint32_t concurrency = granted ? use.grantedConcurrency : use.concurrencyShare;
     if (use.inFlight >= concurrency)
         return refuse(use, v1::REASON_ORGANISATION_CONCURRENCY, concurrencyRetry);
-    // A spent grant falls back to the share: an entry that was quiet holds a small grant and must
-    // not refuse what its share allows. The owner takes the difference off its next grants.
+    // When its grant is used up, an entry uses its static share: after little traffic its grant is
+    // small, and it must not refuse what the share allows. The owner deducts the difference from
+    // its next grants.
     const bool byGrant = granted && use.granted > 0;
     if (!byGrant && use.share.tokens < 1.0) {
         const milliseconds wait = untilNextToken(use);
         return refuse(use, v1::REASON_ORGANISATION_RATE,
-                      granted ? std::min(wait, hungryInterval) : wait);
+                      granted ? std::min(wait, urgentGrantInterval) : wait);
     }
     if (byGrant)
         --use.granted;
-    // The share is spent along with the grant: when the grant lapses, what was just admitted
-    // counts against the share and the two together do not exceed the limit.
+    // Requests admitted by a grant use up the share too. When the grant expires, they count against
+    // the share, so that grant and share together do not exceed the limit.
     use.share.tokens = std::max(0.0, use.share.tokens - 1.0);
     ++use.inFlight;
     ++use.admitted;
@@ -154,7 +155,7 @@
 std::vector<BudgetCall> budgetCalls(OrganisationLimits &limits, TimePoint now)
 {
     std::vector<BudgetCall> calls;
-    dropResting(limits, now);
+    removeIdle(limits, now);
     for (const std::string &name : limits.active) {
         OrganisationUse &use = limits.uses.at(name);
         if (!isCallDue(use, now))
@@ -179,8 +180,8 @@
     return calls;
 }
 
-void grantArrived(OrganisationLimits &limits, const std::string &organisation,
-                  const v1::BudgetGrant &grant, TimePoint sentAt)
+void applyGrant(OrganisationLimits &limits, const std::string &organisation,
+                const v1::BudgetGrant &grant, TimePoint sentAt)
 {
     const auto found = limits.uses.find(organisation);
     if (found == limits.uses.end() || grant.valid_ms() == 0)
--- a/Source/Request/PoisonRequests.cpp
+++ b/Source/Request/PoisonRequests.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-bool hasOpenDeath(const SuspectRecord &record)
+bool hasUnclearedDeath(const SuspectRecord &record)
 {
     return !std::includes(record.cleared.begin(), record.cleared.end(), record.deaths.begin(),
                           record.deaths.end());
 }
 
-void makeRoom(PoisonRequests &requests)
+void evictIfFull(PoisonRequests &requests)
 {
     if (requests.records.size() < maxSuspects)
         return;
@@ -25,18 +25,19 @@
 SuspectRecord &recordOf(PoisonRequests &requests, std::uint64_t fingerprint)
 {
     if (!requests.records.contains(fingerprint))
-        makeRoom(requests);
+        evictIfFull(requests);
     return requests.records[fingerprint];
 }
 
-/// Adds a death. When there are too many to tell apart, an open one stands for the new one too, and
-/// cleared ones are forgotten; either way the fingerprint is a suspect, as it has to be.
+/// Adds a death. At maxDeaths, the new one is dropped if another is not cleared yet; if all are
+/// cleared, they are removed first. In both cases the fingerprint is a suspect afterwards, as it
+/// must be.
 void addDeath(SuspectRecord &record, std::uint64_t death)
 {
     if (record.deaths.contains(death))
         return;
     const bool full = record.deaths.size() >= maxDeaths;
-    if (full && hasOpenDeath(record))
+    if (full && hasUnclearedDeath(record))
         return;
     if (full) {
         record.deaths.clear();
@@ -45,11 +46,11 @@
     record.deaths.insert(death);
 }
 
-ReportedStanding standingOf(const SuspectRecord &record)
+ReportedSuspicion reportedSuspicionOf(const SuspectRecord &record)
 {
     if (record.quarantined)
-        return ReportedStanding::Quarantined;
-    return hasOpenDeath(record) ? ReportedStanding::Suspect : ReportedStanding::Cleared;
+        return ReportedSuspicion::Quarantined;
+    return hasUnclearedDeath(record) ? ReportedSuspicion::Suspect : ReportedSuspicion::Cleared;
 }
 
 v1::SuspectReport reportOf(std::uint64_t fingerprint, const SuspectRecord &record, TimePoint now)
@@ -57,9 +58,9 @@
     v1::SuspectReport report;
     report.set_fingerprint(fingerprint);
     report.set_remaining_ms(remaining(now, record.forgetAt).count());
-    const ReportedStanding standing = standingOf(record);
-    report.set_deaths(static_cast<std::uint32_t>(standing));
-    const auto &ids = standing == ReportedStanding::Cleared ? record.cleared : record.deaths;
+    const ReportedSuspicion suspicion = reportedSuspicionOf(record);
+    report.set_deaths(static_cast<std::uint32_t>(suspicion));
+    const auto &ids = suspicion == ReportedSuspicion::Cleared ? record.cleared : record.deaths;
     for (const std::uint64_t id : ids)
         report.add_death_ids(id);
     return report;
@@ -74,7 +75,7 @@
         return Suspicion::None;
     if (found->second.quarantined)
         return Suspicion::Quarantined;
-    return hasOpenDeath(found->second) ? Suspicion::Suspect : Suspicion::None;
+    return hasUnclearedDeath(found->second) ? Suspicion::Suspect : Suspicion::None;
 }
 
 void recordDeath(PoisonRequests &requests, std::uint64_t fingerprint, std::uint64_t death,
@@ -84,8 +85,8 @@
     SuspectRecord &record = recordOf(requests, fingerprint);
     addDeath(record, death);
     record.quarantined = record.quarantined || alone;
-    const seconds holds = record.quarantined ? quarantineTime : suspicionTime;
-    record.forgetAt = std::max(record.forgetAt, now + holds);
+    const seconds validFor = record.quarantined ? quarantineTime : suspicionTime;
+    record.forgetAt = std::max(record.forgetAt, now + validFor);
 }
 
 void renewQuarantine(PoisonRequests &requests, std::uint64_t fingerprint, TimePoint now)
@@ -109,18 +110,18 @@
         return;
     forgetSuspects(requests, now);
     SuspectRecord &record = recordOf(requests, report.fingerprint());
-    const auto standing = static_cast<ReportedStanding>(report.deaths());
+    const auto suspicion = static_cast<ReportedSuspicion>(report.deaths());
     for (const std::uint64_t death : report.death_ids()) {
         addDeath(record, death);
-        if (standing == ReportedStanding::Cleared && record.deaths.contains(death))
+        if (suspicion == ReportedSuspicion::Cleared && record.deaths.contains(death))
             record.cleared.insert(death);
     }
-    if (standing == ReportedStanding::Quarantined)
+    if (suspicion == ReportedSuspicion::Quarantined)
         record.quarantined = true;
-    // A peer can't prolong a suspicion beyond what its own evidence would give.
-    const milliseconds holds =
+    // A peer's report can't extend the record beyond the longest time of a local one.
+    const milliseconds validFor =
         std::min<milliseconds>(milliseconds(report.remaining_ms()), quarantineTime);
-    record.forgetAt = std::max(record.forgetAt, now + holds);
+    record.forgetAt = std::max(record.forgetAt, now + validFor);
 }
 
 std::vector<v1::SuspectReport> suspectReports(const PoisonRequests &requests, TimePoint now)
--- a/Source/Request/PoisonRequests.h
+++ b/Source/Request/PoisonRequests.h
@@ -10,31 +10,31 @@
 
 namespace wisteria {
 
-/// How long a suspicion holds unless a good run clears it.
+/// How long a fingerprint is suspect unless a good run clears it.
 constexpr seconds suspicionTime{120};
-/// How long a convicted fingerprint is refused after its last appearance.
+/// How long a quarantined fingerprint is refused after it was last sent.
 constexpr seconds quarantineTime{3600};
-/// Time after which every entry has heard of a death: several heartbeats.
+/// Time after which every entry has received the report of a death: several heartbeats.
 constexpr milliseconds suspectSettleTime{2000};
-/// Fingerprints that one process remembers; the ones soonest forgotten give way.
+/// Fingerprints that one process records; those that expire soonest are evicted first.
 constexpr std::size_t maxSuspects = 4096;
-/// Fingerprints that one heartbeat carries, to stay within a daemon's control traffic.
+/// Fingerprints that one heartbeat carries, to stay within the bound on a daemon's control traffic.
 constexpr std::size_t maxSuspectReports = 32;
-/// Deaths that are told apart for one fingerprint.
+/// Distinct deaths that are recorded for one fingerprint.
 constexpr std::size_t maxDeaths = 16;
 
-/// What is held against a fingerprint.
+/// Whether a fingerprint may crash backend servers.
 enum class Suspicion {
     None,
-    Suspect, ///< In flight on a backend server that died; runs only alone.
-    Quarantined, ///< A backend server died while it ran alone; refused.
+    Suspect, ///< Was in flight on a backend server that died. Runs only alone.
+    Quarantined, ///< A backend server died while it ran alone. Refused.
 };
 
 /// Values of SuspectReport.deaths.
-enum class ReportedStanding : std::uint32_t { Cleared = 0, Suspect = 1, Quarantined = 2 };
+enum class ReportedSuspicion : std::uint32_t { Cleared = 0, Suspect = 1, Quarantined = 2 };
 
-/// What is known of one fingerprint. Deaths and clearings are sets that only grow, so reports may
-/// arrive late, twice and in any order.
+/// Deaths recorded for one fingerprint, and which of them a good run cleared. Reports are merged as
+/// set unions, so they may arrive late, twice and in any order.
 struct SuspectRecord
 {
     std::set<std::uint64_t> deaths;
@@ -43,35 +43,36 @@
     TimePoint forgetAt;
 };
 
-/// Suspected and convicted fingerprints as one process knows them.
+/// Suspect and quarantined fingerprints that one process knows.
 struct PoisonRequests
 {
     std::map<std::uint64_t, SuspectRecord> records;
 };
 
-/// What is held against the fingerprint now.
+/// Returns whether the fingerprint is suspect or quarantined now.
 Suspicion suspicionOf(const PoisonRequests &requests, std::uint64_t fingerprint, TimePoint now);
 
 /// Records that a backend server died while the fingerprint ran there.
 /// @param death Identity of the death; the same death recorded twice counts once.
-/// @param alone Whether nothing else ran, which convicts.
+/// @param alone Whether nothing else ran, in which case the fingerprint is quarantined.
 void recordDeath(PoisonRequests &requests, std::uint64_t fingerprint, std::uint64_t death,
                  bool alone, TimePoint now);
 
-/// A convicted fingerprint was sent again and refused: it stays convicted for as long again, or a
-/// caller that repeats for ever would take down another backend server each time it is forgotten.
+/// Restarts the quarantine time because the fingerprint was sent again and refused. Otherwise a
+/// caller that never stops repeating would crash another backend server at each expiry.
 void renewQuarantine(PoisonRequests &requests, std::uint64_t fingerprint, TimePoint now);
 
-/// Records a good run alone: every death known so far is cleared.
+/// Records that the fingerprint ran alone without a death: all deaths recorded so far are cleared.
 void recordGoodRun(PoisonRequests &requests, std::uint64_t fingerprint);
 
-/// Takes in what another process reported.
+/// Merges the report of another process.
 void mergeSuspectReport(PoisonRequests &requests, const v1::SuspectReport &report, TimePoint now);
 
-/// What to tell other processes: convicted first, then suspects, then cleared ones.
+/// Up to maxSuspectReports reports for other processes: quarantined first, then suspect, then
+/// cleared fingerprints.
 std::vector<v1::SuspectReport> suspectReports(const PoisonRequests &requests, TimePoint now);
 
-/// Drops what is past its time.
+/// Removes expired records.
 void forgetSuspects(PoisonRequests &requests, TimePoint now);
 
 } // namespace wisteria
--- a/Source/Request/Route.cpp
+++ b/Source/Request/Route.cpp
@@ -15,8 +15,9 @@
     return std::find(query.tried.begin(), query.tried.end(), candidate.name) != query.tried.end();
 }
 
-/// Queued requests of lower priority will stand behind ours; how many they are is not reported, so
-/// a high priority counts the queue for less.
+/// Occupancy as a request of this priority experiences it. Queued requests of lower priority would
+/// run after it; how many there are is not reported, so a higher priority counts the queue for
+/// less.
 double perceivedOccupancy(const Candidate &candidate, std::uint32_t priority)
 {
     const double slots = std::max<std::uint32_t>(candidate.concurrency, 1);
@@ -40,12 +41,12 @@
                                   TimePoint now)
 {
     auto chosen = untried(candidates, query,
-                          [now](const Candidate &candidate) { return mayBeAsked(candidate, now); });
+                          [now](const Candidate &candidate) { return isEligible(candidate, now); });
     return chosen.empty() ? untried(candidates, query, isAvailable) : chosen;
 }
 
-/// The backend server that most likely holds the prefix: rendezvous hashing, passing over those
-/// that are loaded beyond the bound.
+/// The backend server that most likely has the prefix cached: rendezvous hashing that skips those
+/// loaded beyond the bound.
 std::optional<std::size_t> affineCandidate(const std::vector<Candidate> &candidates,
                                            const std::vector<std::size_t> &among,
                                            std::uint64_t prefix)
@@ -81,8 +82,8 @@
 {
     if (!candidate.silentSince)
         return false;
-    const microseconds patience = stalledAfter + candidate.serviceTime * stalledServiceTimes;
-    return now - *candidate.silentSince > patience;
+    const microseconds silenceLimit = stalledAfter + candidate.serviceTime * stalledServiceTimes;
+    return now - *candidate.silentSince > silenceLimit;
 }
 
 } // namespace
@@ -92,11 +93,11 @@
     return !candidate.leaving && !candidate.vmLeaving && !candidate.down;
 }
 
-bool mayBeAsked(const Candidate &candidate, TimePoint now)
+bool isEligible(const Candidate &candidate, TimePoint now)
 {
     if (!isAvailable(candidate) || now < candidate.ejectedUntil)
         return false;
-    // After a shun one attempt probes; others wait for its end.
+    // After an ejection one attempt probes the server; no other is sent until it ends.
     const bool probing = candidate.failures >= ejectAfterFailures && candidate.outstanding > 0;
     return !probing && !isStalled(candidate, now);
 }
@@ -132,7 +133,8 @@
             cost += policy.domain_weight();
         if (affine == i)
             cost -= policy.affinity_weight();
-        // Ties fall by request, so that entries with equal beliefs do not all pick the same one.
+        // Ties are broken by a hash of the request, so that entries with equal load data do not all
+        // choose the same server.
         const std::uint64_t tie = pairHash(query.requestId, candidate.name);
         if (!best || cost < bestCost || (cost == bestCost && tie < bestTie)) {
             best = i;
@@ -151,7 +153,7 @@
         candidate.silentSince = now;
 }
 
-void attemptHeard(Candidate &candidate, TimePoint now)
+void attemptFrameReceived(Candidate &candidate, TimePoint now)
 {
     candidate.failures = 0;
     candidate.silentSince.reset();
@@ -159,7 +161,7 @@
         candidate.silentSince = now;
 }
 
-void attemptOver(Candidate &candidate, bool failed, TimePoint now)
+void attemptEnded(Candidate &candidate, bool failed, TimePoint now)
 {
     if (candidate.outstanding > 0)
         --candidate.outstanding;
@@ -181,8 +183,8 @@
     const std::size_t count = servers.size();
     if (size == 0 || size >= count || entries == 0)
         return servers;
-    // A ring on which the members of each failure domain stand evenly apart, so that every stretch
-    // of it spans the domains.
+    // On this ring the members of each failure domain are evenly spaced, so that every range of it
+    // spans the domains.
     std::map<std::string, std::vector<v1::BackendServer>> domains;
     for (v1::BackendServer &server : servers)
         domains[server.failure_domain()].push_back(std::move(server));
@@ -191,15 +193,15 @@
         std::sort(members.begin(), members.end(),
                   [](const auto &a, const auto &b) { return a.name() < b.name(); });
         for (std::size_t i = 0; i < members.size(); ++i) {
-            const double place =
+            const double position =
                 (static_cast<double>(i) + 0.5) / static_cast<double>(members.size());
-            ring.emplace_back(place, std::move(members[i]));
+            ring.emplace_back(position, std::move(members[i]));
         }
     }
     std::stable_sort(ring.begin(), ring.end(),
                      [](const auto &a, const auto &b) { return a.first < b.first; });
-    // Entry i's stretch begins where that of entry i-1 ends, so the stretches wind around the ring
-    // and cover each place equally often, give or take one.
+    // Entry i's range begins where that of entry i-1 ends, so the ranges wrap around the ring and
+    // cover each position equally often, with a difference of at most one.
     std::vector<v1::BackendServer> subset;
     for (std::size_t i = 0; i < size; ++i)
         subset.push_back(ring[(entryIndex * size + i) % count].second);
--- a/Source/Request/Route.h
+++ b/Source/Request/Route.h
@@ -10,8 +10,8 @@
 
 namespace wisteria {
 
-/// What an entry believes of one backend server. Beliefs are hints that may be late: the agent
-/// beside the backend server has the last word.
+/// Last known state of one backend server at an entry. It may be out of date: the agent beside the
+/// backend server decides finally whether an attempt is admitted.
 struct Candidate
 {
     std::string name;
@@ -23,26 +23,26 @@
     std::uint32_t queued = 0;
     /// Smoothed service time as last reported; zero when none was reported.
     microseconds serviceTime{0};
-    /// Requests this entry has sent and not seen ended.
+    /// Requests that this entry has sent and that have not ended.
     std::uint32_t outstanding = 0;
-    /// Of `outstanding`, those that the last load report may not have counted.
+    /// Requests sent since the last load report, which may not include them.
     std::uint32_t sentSinceReport = 0;
     bool leaving = false;
     bool down = false;
-    /// The platform's list names its VM as leaving or no more. Kept apart from `leaving`, which
-    /// the agent's own reports set and clear.
+    /// The platform lists its VM as leaving or no longer lists it. Separate from `leaving`, which
+    /// the agent's reports set and clear.
     bool vmLeaving = false;
-    /// When `down` was set last.
+    /// When `down` last changed to true.
     TimePoint downSince;
-    /// Attempts in a row that timed out or were lost.
+    /// Consecutive attempts that timed out or were lost.
     std::uint32_t failures = 0;
-    /// Not asked before then, except that one attempt probes it afterwards.
+    /// Gets no attempts before this time; afterwards one attempt probes it.
     TimePoint ejectedUntil;
-    /// When the oldest attempt that saw no frame since was sent.
+    /// Since when no frame has arrived while attempts are outstanding.
     std::optional<TimePoint> silentSince;
 };
 
-/// What the routing of one attempt depends on.
+/// Properties of one attempt that its routing depends on.
 struct RouteQuery
 {
     std::string requestId;
@@ -50,36 +50,39 @@
     std::uint64_t prefix = 0;
     /// Failure domain of the entry.
     std::string failureDomain;
-    /// Names of those already tried for this request.
+    /// Names of the backend servers already tried for this request.
     std::vector<std::string> tried;
 };
 
-/// Attempts in a row without an answer after which a backend server is shunned.
+/// Consecutive attempts without an answer after which a backend server is ejected.
 constexpr std::uint32_t ejectAfterFailures = 2;
-/// First and longest time for which a backend server is shunned; doubles in between.
+/// First and longest time for which a backend server is ejected; each further failure doubles it.
 constexpr milliseconds minEjection{500};
 constexpr milliseconds maxEjection{16'000};
-/// Silence, beyond several service times, after which a backend server counts as stalled.
+/// A backend server counts as stalled if it is silent for longer than this plus several service
+/// times.
 constexpr milliseconds stalledAfter{1'000};
 constexpr int stalledServiceTimes = 8;
-/// Load beyond the average at which prefix affinity gives way (rendezvous with bounded load).
+/// Ratio to the average load above which a server is skipped for prefix affinity (rendezvous
+/// hashing with bounded loads).
 constexpr double affinityLoadBound = 1.25;
 
-/// Whether the backend server runs and takes new work, as far as is known.
+/// Whether the backend server is up and accepts new work, as far as is known.
 bool isAvailable(const Candidate &candidate);
 
-/// Whether the backend server is available and has not lately failed or fallen silent.
-bool mayBeAsked(const Candidate &candidate, TimePoint now);
+/// Whether the backend server is available and neither ejected nor stalled.
+bool isEligible(const Candidate &candidate, TimePoint now);
 
-/// Requests that the backend server has, as far as this entry knows, per request it runs at once.
+/// Requests at the backend server, as far as this entry knows, divided by its concurrency.
 double occupancy(const Candidate &candidate);
 
-/// Time a new request would wait there before it runs.
+/// Time that a new request would be queued there.
 microseconds expectedWait(const Candidate &candidate);
 
-/// Chooses the backend server for one attempt: among those that may be asked, or if there is none,
-/// among those that are available, since long requests look like a stall from here.
-/// @return Index into candidates; nothing when none may be asked.
+/// Chooses the untried backend server with the lowest cost for one attempt: among those that
+/// may be used, or if there is none, among all available ones, since an entry can't distinguish
+/// long requests from a stall.
+/// @return Index into candidates; nothing if no untried one is available.
 std::optional<std::size_t> chooseBackendServer(const std::vector<Candidate> &candidates,
                                                const v1::RoutingPolicy &policy,
                                                const RouteQuery &query, TimePoint now);
@@ -87,16 +90,17 @@
 /// Records that an attempt was sent.
 void attemptSent(Candidate &candidate, TimePoint now);
 
-/// Records a sign of life of an attempt.
-void attemptHeard(Candidate &candidate, TimePoint now);
+/// Records that a frame of an attempt arrived.
+void attemptFrameReceived(Candidate &candidate, TimePoint now);
 
-/// Records that an attempt is over.
+/// Records that an attempt has ended.
 /// @param failed Whether it ended without an answer: timed out, cut or lost.
-void attemptOver(Candidate &candidate, bool failed, TimePoint now);
+void attemptEnded(Candidate &candidate, bool failed, TimePoint now);
 
-/// Declared backend servers that one of several entries keeps to. Every backend server is kept to
-/// by as many entries as any other, give or take one, and each subset spans the failure domains.
-/// @param size Backend servers wanted; 0 for all.
+/// Subset of the declared backend servers that one of several entries sends to. Each server is in
+/// equally many entries' subsets, with a difference of at most one, and each subset spans the
+/// failure domains.
+/// @param size Backend servers in the subset; 0 for all.
 std::vector<v1::BackendServer> subsetOf(std::vector<v1::BackendServer> servers,
                                         std::size_t entryIndex, std::size_t entries,
                                         std::size_t size);
--- a/Source/Request/RoutingView.cpp
+++ b/Source/Request/RoutingView.cpp
@@ -12,7 +12,7 @@
 constexpr double defaultRetryRatio = 0.1;
 constexpr std::uint32_t defaultMaxAttempts = 3;
 
-/// Policy of a service that names none.
+/// Policy of a service without a declared one.
 v1::RoutingPolicy defaultPolicy()
 {
     v1::RoutingPolicy policy;
@@ -39,7 +39,7 @@
                          [&](const std::string &name) { return name < state.ownName; });
 }
 
-/// A belief about a declared backend server, carried over when it is still the same process.
+/// State of a declared backend server; kept if it is declared at the same address as before.
 Candidate candidateFor(const v1::BackendServer &server, const ServiceView *before)
 {
     Candidate candidate;
@@ -54,7 +54,7 @@
     return candidate;
 }
 
-/// The backend servers of this entry's subset, with what is believed of them already.
+/// The backend servers of this entry's subset, with the state that is already known of them.
 std::vector<Candidate> candidatesOf(const EntryState &state, const DeclaredService &declared,
                                     const ServiceView *before)
 {
@@ -106,7 +106,7 @@
     return declared;
 }
 
-/// The declared state of the version, or of a newer one that another thread has built already.
+/// The routing data of the version, or of a newer one that another thread has already built.
 std::shared_ptr<const DeclaredRouting> sharedRouting(EntryShared &shared, const ConfigState &config)
 {
     {
@@ -114,7 +114,7 @@
         if (shared.declared->version >= config.version)
             return shared.declared;
     }
-    // Built without the lock, which every request takes.
+    // Built without holding the lock, which every request needs.
     auto built = declaredRouting(config);
     const std::lock_guard<std::mutex> lock(shared.mutex);
     if (shared.declared->version < built->version)
@@ -191,7 +191,7 @@
         return;
     const auto declared = sharedRouting(shared, config);
     state.services = viewsOf(state, *declared);
-    // Only now, since the views before point into it.
+    // The previous views point into state.declared, so it is replaced only after them.
     state.declared = declared;
     state.configVersion = declared->version;
     const std::lock_guard<std::mutex> lock(shared.mutex);
--- a/Tests/Request/AtMostOnceTest.cpp
+++ b/Tests/Request/AtMostOnceTest.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// A world with one home for every key, and direct access to its gate.
-struct OneHome
+/// A world in which one agent owns every key, with direct access to its admission control.
+struct SingleOwner
 {
     RequestWorld world;
     AdmissionState &admission;
     StreamId lastStream = 1000;
 
-    explicit OneHome(const RequestGuards &guards = {})
+    explicit SingleOwner(const RequestGuards &guards = {})
         : world({.agents = 1, .guards = guards}), admission(world.agents[0].admission)
     { }
 
@@ -58,154 +58,147 @@
 
 } // namespace
 
-// A clerk is told "not run" and orders again elsewhere; then the first order is drafted too.
-// Order: try 1 is stuck in a slow entry, try 2 reaches the home while its backend server is down
-// and is refused, the backend server returns, try 1 arrives at last. Cause: the home forgot that it
-// had answered for the key.
+// Failure: a caller gets "not run" and orders again elsewhere, but then the first order runs too.
+// Try 1 is delayed in a slow entry. Try 2 reaches the owner while its backend server is down and is
+// refused as not run. After the backend server returns, try 1 arrives, and an owner that did not
+// record the refusal would run it.
 TEST_CASE("A try older than a refused one never runs")
 {
     for (const bool guarded : {true, false}) {
         RequestGuards guards;
         guards.refusedTries = guarded;
-        OneHome home(guards);
-        const CallerRequest order = home.world.keyedRequest("order");
-        backendHealth(home.admission, false, home.world.now);
-        CHECK(home.refused(home.head(order, 2)).kind() == v1::VERDICT_KIND_NOT_RUN);
-        backendHealth(home.admission, true, home.world.now);
-        const AdmissionAction late = home.arrive(home.head(order, 1));
+        SingleOwner owner(guards);
+        const CallerRequest order = owner.world.keyedRequest("order");
+        backendHealth(owner.admission, false, owner.world.now);
+        CHECK(owner.refused(owner.head(order, 2)).kind() == v1::VERDICT_KIND_NOT_RUN);
+        backendHealth(owner.admission, true, owner.world.now);
+        const AdmissionAction late = owner.arrive(owner.head(order, 1));
         CHECK(std::holds_alternative<RefuseAttempt>(late) == guarded);
         if (guarded)
-            CHECK(std::holds_alternative<StartBackend>(home.arrive(home.head(order, 3))));
+            CHECK(std::holds_alternative<StartBackend>(owner.arrive(owner.head(order, 3))));
     }
 }
 
-// A courier's door release is answered with another's door.
-// Order: a release runs and its answer is kept; the same key comes with another body, or from
-// another organisation.
-// Cause: keys are chosen by callers and may collide or be reused.
-TEST_CASE("A kept answer goes only to the same request of the same organisation")
+// Failure: a caller gets the answer of a different request under the same key. Keys are chosen by
+// callers, so a key may collide or be reused with another body or by another organisation while the
+// answer of the first request is stored.
+TEST_CASE("A stored answer is replayed only for the same request of the same organisation")
 {
-    OneHome home;
-    const CallerRequest door = home.world.keyedRequest("door 7");
-    home.runToEnd(home.head(door, 1), "opened 7");
-    const AdmissionAction again = home.arrive(home.head(door, 2));
+    SingleOwner owner;
+    const CallerRequest door = owner.world.keyedRequest("door 7");
+    owner.runToEnd(owner.head(door, 1), "opened 7");
+    const AdmissionAction again = owner.arrive(owner.head(door, 2));
     REQUIRE(std::holds_alternative<ReplayAnswer>(again));
     CHECK(std::get<ReplayAnswer>(again).body == "opened 7");
-    v1::RunHead upper = home.head(door, 2);
+    v1::RunHead upper = owner.head(door, 2);
     for (char &digit : *upper.mutable_key())
         digit = static_cast<char>(std::toupper(digit));
-    CHECK(std::holds_alternative<ReplayAnswer>(home.arrive(upper)));
-    v1::RunHead otherBody = home.head(door, 1);
+    CHECK(std::holds_alternative<ReplayAnswer>(owner.arrive(upper)));
+    v1::RunHead otherBody = owner.head(door, 1);
     otherBody.set_fingerprint(42);
-    CHECK(home.refused(otherBody).reason() == v1::REASON_BAD_REQUEST);
-    CHECK(home.refused(otherBody).kind() == v1::VERDICT_KIND_OUTCOME_UNKNOWN);
-    v1::RunHead otherOrganisation = home.head(door, 1);
+    CHECK(owner.refused(otherBody).reason() == v1::REASON_BAD_REQUEST);
+    CHECK(owner.refused(otherBody).kind() == v1::VERDICT_KIND_OUTCOME_UNKNOWN);
+    v1::RunHead otherOrganisation = owner.head(door, 1);
     otherOrganisation.set_organisation("other");
-    CHECK(std::holds_alternative<StartBackend>(home.arrive(otherOrganisation)));
+    CHECK(std::holds_alternative<StartBackend>(owner.arrive(otherOrganisation)));
 }
 
-TEST_CASE("A repeat of what ran without a kept answer is told so")
+TEST_CASE("A repeat of a request that ran is refused as already run if its answer is not stored")
 {
-    OneHome home;
-    const CallerRequest order = home.world.keyedRequest("order");
-    home.runToEnd(home.head(order, 1), std::nullopt);
-    CHECK(home.refused(home.head(order, 2)).kind() == v1::VERDICT_KIND_ALREADY_RUN);
+    SingleOwner owner;
+    const CallerRequest order = owner.world.keyedRequest("order");
+    owner.runToEnd(owner.head(order, 1), std::nullopt);
+    CHECK(owner.refused(owner.head(order, 2)).kind() == v1::VERDICT_KIND_ALREADY_RUN);
 }
 
-// An order line is doubled although its key was remembered for a while.
-// Order: an order runs, so many others follow that its key is forgotten, the caller repeats it.
-// Cause: memory is bounded.
-TEST_CASE("A key forgotten for lack of memory never runs again")
+// Failure: an order runs twice although its key was recorded. The memory of keys is bounded, so
+// later keys evict it before the caller repeats the order.
+TEST_CASE("An evicted key never runs again")
 {
-    OneHome home;
-    const CallerRequest first = home.world.keyedRequest("first");
-    home.runToEnd(home.head(first, 1), "done");
+    SingleOwner owner;
+    const CallerRequest first = owner.world.keyedRequest("first");
+    owner.runToEnd(owner.head(first, 1), "done");
     for (std::size_t i = 0; i < maxKeys; ++i) {
-        home.world.now += milliseconds(1);
-        rememberKey(home.admission.keys, keyId(home.world.wall(), "org", std::to_string(i)));
+        owner.world.now += milliseconds(1);
+        findOrAddKey(owner.admission.keys, keyId(owner.world.wall(), "org", std::to_string(i)));
     }
-    CHECK(home.admission.keys.records.size() == maxKeys);
-    CHECK(home.refused(home.head(first, 2)).kind() == v1::VERDICT_KIND_OUTCOME_UNKNOWN);
-    CHECK(home.refused(home.head(first, 2)).reason() == v1::REASON_KEY_TOO_OLD);
+    CHECK(owner.admission.keys.records.size() == maxKeys);
+    CHECK(owner.refused(owner.head(first, 2)).kind() == v1::VERDICT_KIND_OUTCOME_UNKNOWN);
+    CHECK(owner.refused(owner.head(first, 2)).reason() == v1::REASON_KEY_TOO_OLD);
 }
 
-// An agent's memory grows without end.
-// Order: callers send keys that are refused, older or newer than any, or whose answers are tiny.
-// Cause: refused tries and the order of answers are remembered too.
-TEST_CASE("No kind of key makes the memory outgrow its bound")
+// Failure: an agent's memory grows without bound. Refused tries and the order of answers are
+// recorded too, for keys older or newer than all others and for keys with tiny answers.
+TEST_CASE("The memory of keys stays within its bound for every kind of key")
 {
-    OneHome home;
-    const WallTime wall = home.world.wall();
+    SingleOwner owner;
+    const WallTime wall = owner.world.wall();
     for (std::size_t i = 0; i < maxKeys + 100; ++i) {
         const KeyId newer = keyId(wall + milliseconds(i), "org", "newer");
-        rememberKey(home.admission.keys, newer);
-        storeAnswer(home.admission.keys, newer, {200, "", ""});
-        rememberKey(home.admission.keys, keyId(wall - milliseconds(i), "org", "older"));
+        findOrAddKey(owner.admission.keys, newer);
+        storeAnswer(owner.admission.keys, newer, {200, "", ""});
+        findOrAddKey(owner.admission.keys, keyId(wall - milliseconds(i), "org", "older"));
     }
-    CHECK(home.admission.keys.records.size() <= maxKeys);
-    CHECK(home.admission.keys.answerOrder.size() <= maxKeys);
-    CallerRequest ahead = home.world.keyedRequest("ahead");
+    CHECK(owner.admission.keys.records.size() <= maxKeys);
+    CHECK(owner.admission.keys.answerOrder.size() <= maxKeys);
+    CallerRequest ahead = owner.world.keyedRequest("ahead");
     ahead.key = "ffffffff-ffff-7000-8000-000000000001";
-    const std::size_t before = home.admission.keys.records.size();
-    CHECK(home.refused(home.head(ahead, 1)).kind() == v1::VERDICT_KIND_OUTCOME_UNKNOWN);
-    CHECK(home.admission.keys.records.size() == before);
+    const std::size_t before = owner.admission.keys.records.size();
+    CHECK(owner.refused(owner.head(ahead, 1)).kind() == v1::VERDICT_KIND_OUTCOME_UNKNOWN);
+    CHECK(owner.admission.keys.records.size() == before);
 }
 
-TEST_CASE("Answers kept for repeats stay within their bound")
+TEST_CASE("Answers stored for repeats stay within their bound")
 {
-    OneHome home;
+    SingleOwner owner;
     const std::string body(maxStoredAnswerBytes - 100, 'x');
     for (int i = 0; i < 600; ++i) {
-        const KeyId id = keyId(home.world.wall(), "org", std::to_string(i));
-        rememberKey(home.admission.keys, id);
-        storeAnswer(home.admission.keys, id, {200, "text/plain", body});
+        const KeyId id = keyId(owner.world.wall(), "org", std::to_string(i));
+        findOrAddKey(owner.admission.keys, id);
+        storeAnswer(owner.admission.keys, id, {200, "text/plain", body});
     }
-    CHECK(home.admission.keys.answerBytes <= maxStoredBytes);
-    CHECK(home.admission.keys.answerBytes > maxStoredBytes - maxStoredAnswerBytes);
+    CHECK(owner.admission.keys.answerBytes <= maxStoredBytes);
+    CHECK(owner.admission.keys.answerBytes > maxStoredBytes - maxStoredAnswerBytes);
 }
 
-// A door opens twice after an agent restarted.
-// Order: a caller whose clock is fast releases a door, the agent restarts, the caller repeats; the
-// key looks younger than the agent's start.
-// Cause: the caller's clock.
-TEST_CASE("A key ahead of the home's clock is not run")
+// Failure: a request runs twice after an agent restarted. The caller's clock is fast, so its key
+// looks newer than the agent's start when the caller repeats it after the restart.
+TEST_CASE("A key ahead of the owner's clock is not run")
 {
-    OneHome home;
-    CallerRequest door = home.world.keyedRequest("door");
-    home.world.now -= seconds(3);
-    CHECK(home.refused(home.head(door, 1)).reason() == v1::REASON_KEY_UNPROVEN);
-    home.world.now += seconds(2);
-    // The caller was told that try 1 did not run, so only a new try may.
-    CHECK(std::holds_alternative<RefuseAttempt>(home.arrive(home.head(door, 1))));
-    CHECK(std::holds_alternative<StartBackend>(home.arrive(home.head(door, 2))));
+    SingleOwner owner;
+    CallerRequest door = owner.world.keyedRequest("door");
+    owner.world.now -= seconds(3);
+    CHECK(owner.refused(owner.head(door, 1)).reason() == v1::REASON_KEY_UNPROVEN);
+    owner.world.now += seconds(2);
+    // Try 1 was refused as not run, so only a new try may run.
+    CHECK(std::holds_alternative<RefuseAttempt>(owner.arrive(owner.head(door, 1))));
+    CHECK(std::holds_alternative<StartBackend>(owner.arrive(owner.head(door, 2))));
 }
 
-// An order line is doubled although the configuration looks the same to its home.
-// Order: the home is frozen; a server joins, takes the key, runs it and is removed; the home wakes
-// and reads both changes at once; the caller repeats.
-// Cause: a version that was in force elsewhere was never in force at the home.
-TEST_CASE("Keys of a version that the home never saw are not run")
+// Failure: an order runs twice although its owner sees the same set of servers as before. While the
+// owner is frozen, a server joins, owns the key, runs it and is removed. The owner then reads both
+// changes at once and gets the caller's repeat; the version in between was never in force there.
+TEST_CASE("Keys of a version that was never in force at the owner are not run")
 {
     for (const int versions : {1, 2}) {
-        OneHome home;
-        CallerRequest order = home.world.keyedRequest("order");
+        SingleOwner owner;
+        CallerRequest order = owner.world.keyedRequest("order");
         for (int i = 0; i < versions; ++i) {
-            ++home.world.config.version;
-            v1::SeenChange &seen = home.world.config.seen["unseen-" + std::to_string(i)];
-            seen.set_offset(home.world.config.version);
+            ++owner.world.config.version;
+            v1::SeenChange &seen = owner.world.config.seen["unseen-" + std::to_string(i)];
+            seen.set_offset(owner.world.config.version);
             seen.set_accepted(true);
         }
-        setAdmissionConfiguration(home.admission, home.world.config, "server-0", home.world.now,
-                                  home.world.wall());
-        const AdmissionAction action = home.arrive(home.head(order, 2));
+        setAdmissionConfiguration(owner.admission, owner.world.config, "server-0", owner.world.now,
+                                  owner.world.wall());
+        const AdmissionAction action = owner.arrive(owner.head(order, 2));
         CHECK(std::holds_alternative<StartBackend>(action) == (versions == 1));
     }
 }
 
-// A lock opens twice because the entry tried again.
-// Order: the release was sent, the connection breaks, the entry has a retry budget.
-// Cause: whether the release ran is not known.
-TEST_CASE("A non-idempotent request that may have reached its home is not sent again")
+// Failure: a non-idempotent request runs twice because the entry retries it. The connection breaks
+// after the request was sent, so it is not known whether it ran, and the retry budget allows more.
+TEST_CASE("A non-idempotent request that may have reached its owner is not sent again")
 {
     for (const bool idempotent : {true, false}) {
         for (const bool mayHaveReached : {true, false}) {
@@ -223,7 +216,7 @@
     }
 }
 
-TEST_CASE("A key's time is read from a UUID version 7 only")
+TEST_CASE("A key's creation time is read only from a UUID version 7")
 {
     CHECK(keyTime("018bcfe5-6800-7000-8000-000000000001") == WallTime(milliseconds(1700000000000)));
     for (const std::string bad :
--- a/Tests/Request/LimitsAndEndsTest.cpp
+++ b/Tests/Request/LimitsAndEndsTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// One entry's view of a world, driven by hand.
+/// A world of which the test drives one entry directly.
 struct OneEntry
 {
     RequestWorld world{WorldOptions()};
@@ -60,9 +60,8 @@
 
 } // namespace
 
-// A sick fleet is stormed: each caller's request becomes three.
-// Order: every agent refuses; every entry tries again as often as it may.
-// Cause: retries without a budget multiply the load that made the fleet sick.
+// Failure: a retry storm. Every agent refuses because of overload and every entry retries as often
+// as it may, so that each request becomes three and retries multiply the overload.
 TEST_CASE("Retries without successes stop when their budget is spent")
 {
     OneEntry entry;
@@ -80,7 +79,8 @@
     CHECK(attempts == 100 + static_cast<int>(maxRetryBudget));
 }
 
-TEST_CASE("The deadline travels along and a request that can't make it is refused at once")
+TEST_CASE("An attempt carries the remaining time, and a request that can't meet its deadline is "
+          "refused at once")
 {
     OneEntry entry;
     RequestState request;
@@ -105,7 +105,7 @@
     CHECK(std::holds_alternative<SendAttempt>(entry.start(patient, seconds(5))));
 }
 
-TEST_CASE("When entries come or go, subsets move at once and beliefs are kept")
+TEST_CASE("A change of entries moves subsets at once and keeps the state of backend servers")
 {
     RequestWorld world({.agents = 12});
     v1::Object object;
@@ -134,7 +134,8 @@
     CHECK(heartbeatTargets(state) == before);
 }
 
-TEST_CASE("The agent's queue is bounded, keeps priorities and refuses what can't make its deadline")
+TEST_CASE("The agent's queue is bounded, ordered by priority and refuses attempts that can't meet "
+          "their deadline")
 {
     RequestWorld world({.agents = 1, .queueBound = 3});
     AdmissionState &admission = world.agents[0].admission;
@@ -160,12 +161,9 @@
     CHECK(started(end(4)).stream == 6);
 }
 
-// A planned stop cuts off a quotation that is being drafted.
-// Order: SIGTERM while one request runs and another is queued.
-// Cause: a stop that does not wait for what runs.
-// Each new caller waits out its deadline at a backend server that hangs, though its agent could
-// know: the process lives and takes requests, and only its health check gets no answer.
-TEST_CASE("An agent before a stalled backend server refuses new work at once and says so")
+// Failure: each new caller waits until its deadline at a stalled backend server, although its agent
+// could detect the stall: the process accepts requests, but does not answer its health check.
+TEST_CASE("An agent with a stalled backend server refuses new work at once and reports it as down")
 {
     RequestWorld world({.agents = 1});
     AdmissionState &admission = world.agents[0].admission;
@@ -178,13 +176,15 @@
           == 2);
 }
 
-TEST_CASE("A leaving agent refuses what is queued and new as not run, and ends what runs")
+// Failure: a planned shutdown cuts a running request. SIGTERM arrives while one request runs and
+// another is queued, and a process that does not wait for running requests ends.
+TEST_CASE("A draining agent refuses queued and new attempts as not run, and completes running ones")
 {
     RequestWorld world({.agents = 1});
     AdmissionState &admission = world.agents[0].admission;
     runArrived(admission, 1, headWith(0, seconds(1)), world.now, world.wall());
     runArrived(admission, 2, headWith(0, seconds(1)), world.now, world.wall());
-    CHECK(refusedFor(beginLeaving(admission, world.now)) == v1::REASON_LEAVING);
+    CHECK(refusedFor(beginDraining(admission, world.now)) == v1::REASON_LEAVING);
     CHECK(refusedFor(runArrived(admission, 3, headWith(0, seconds(1)), world.now, world.wall()))
           == v1::REASON_LEAVING);
     CHECK_FALSE(idle(admission));
@@ -194,10 +194,9 @@
     CHECK(idle(admission));
 }
 
-// Counter clerks wait out their deadlines because one backend server hangs.
-// Order: a backend server accepts and never answers, or its agent is frozen, for half a minute.
-// Cause: the process is stalled, its connections stay open.
-TEST_CASE("A stalled backend server or agent costs few callers their answer")
+// Failure: many callers wait until their deadline because one backend server accepts requests and
+// never answers, or because its agent is frozen. The connections of a stalled process stay open.
+TEST_CASE("With a stalled backend server or agent fewer than 1% of callers get no answer")
 {
     for (const bool agentFrozen : {false, true}) {
         RequestWorld world({.agents = 16, .concurrency = 4, .queueBound = 16});
@@ -206,9 +205,10 @@
         for (milliseconds at{0}; at < seconds(30); at += milliseconds(5)) {
             world.after(at, [&world, &unanswered, &sent] {
                 ++sent;
-                world.submit(
-                    sent % 2, world.idempotentRequest(std::to_string(sent)), false,
-                    [&unanswered](Told told) { unanswered += told == Told::Answer ? 0 : 1; });
+                world.submit(sent % 2, world.idempotentRequest(std::to_string(sent)), false,
+                             [&unanswered](CallResult result) {
+                                 unanswered += result == CallResult::Answer ? 0 : 1;
+                             });
             });
         }
         if (agentFrozen)
@@ -218,7 +218,7 @@
         world.run(seconds(32));
         std::cout << (agentFrozen ? "frozen agent: " : "hung backend server: ") << unanswered
                   << " of " << sent << " callers without an answer\n";
-        CHECK(world.breaches().empty());
+        CHECK(world.violations().empty());
         CHECK(unanswered * 100 < sent);
     }
 }
--- a/Tests/Request/OrganisationLimitsTest.cpp
+++ b/Tests/Request/OrganisationLimitsTest.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint32_t concurrency = 30;
 constexpr milliseconds requestTime{150};
 
-/// Entries that share one organisation's limits, with the owner's process at entry 0's side.
+/// Entries that share one organisation's limits, with the owner of its budget.
 struct Fleet
 {
     std::vector<std::string> names;
@@ -27,7 +27,7 @@
     std::vector<std::pair<TimePoint, int>> running;
     int admitted = 0;
     int refused = 0;
-    std::size_t mostInFlight = 0;
+    std::size_t maxInFlight = 0;
 
     explicit Fleet(int count)
     {
@@ -47,7 +47,7 @@
 
     void startOwner()
     {
-        owner = startBudgetOwner(names, now);
+        owner = makeBudgetOwner(names, now);
         setBudgets(*owner, organisations);
     }
 
@@ -56,7 +56,7 @@
         for (OrganisationLimits &entry : entries) {
             for (const BudgetCall &call : budgetCalls(entry, now)) {
                 if (owner)
-                    grantArrived(entry, "org", answerBudget(*owner, call.request, now), now);
+                    applyGrant(entry, "org", answerBudget(*owner, call.request, now), now);
             }
         }
     }
@@ -69,14 +69,14 @@
         }
         ++admitted;
         running.emplace_back(now + requestTime, entry);
-        mostInFlight = std::max(mostInFlight, running.size());
+        maxInFlight = std::max(maxInFlight, running.size());
     }
 
-    /// Runs for a time; `entryOf` picks the entry of each request.
+    /// Sends a request each `between` for a time; `entryOf` selects the entry of each request.
     template <typename EntryOf> void run(milliseconds time, milliseconds between, EntryOf entryOf)
     {
         for (milliseconds passed{0}; passed < time; passed += milliseconds(1)) {
-            if (passed % hungryInterval == milliseconds(0))
+            if (passed % urgentGrantInterval == milliseconds(0))
                 callOwner();
             if (passed % between == milliseconds(0))
                 request(entryOf());
@@ -93,10 +93,9 @@
 
 } // namespace
 
-// An organisation pays for 100 requests a second and takes 1,000 by asking several entries.
-// Order: its callers send far more than the limit through every entry; the owner of its budget
-// dies and returns.
-// Cause: each entry counts only what it sees itself.
+// Failure: an organisation with a limit of 100 requests a second gets 1,000 through several
+// entries. Its callers send far more than the limit through every entry, each entry counts only its
+// own requests, and the owner of the budget dies and returns.
 TEST_CASE("An organisation's limits hold over all entries, also without the budget's owner")
 {
     for (const int entryCount : {1, 2, 4, 12}) {
@@ -110,15 +109,15 @@
         fleet.run(seconds(10), milliseconds(1), anyEntry);
         const double allowed = 40 * rate;
         std::cout << entryCount << " entries: " << fleet.admitted << " admitted in 40 s of at most "
-                  << allowed << " + bursts, at most " << fleet.mostInFlight << " in flight of "
+                  << allowed << " + bursts, at most " << fleet.maxInFlight << " in flight of "
                   << concurrency << "\n";
         CHECK(fleet.admitted <= allowed + 2 * burst + 2 * entryCount);
         CHECK(fleet.admitted >= 0.8 * allowed);
-        CHECK(fleet.mostInFlight <= concurrency);
+        CHECK(fleet.maxInFlight <= concurrency);
     }
 }
 
-TEST_CASE("An entry that gets most of an organisation's calls gets most of its limit")
+TEST_CASE("An entry that receives most of an organisation's requests is granted most of its limit")
 {
     Fleet fleet(4);
     int number = 0;
@@ -132,10 +131,9 @@
     CHECK(each > 66);
 }
 
-// An organisation takes twice its limit when an entry is added.
-// Order: grants of the old owner are out; another entry becomes owner and grants at once.
-// Cause: the new owner does not know what the old one granted.
-TEST_CASE("A new owner grants nothing until the grants of the old one have lapsed")
+// Failure: an organisation gets twice its limit when an entry is added. Grants of the former owner
+// are still valid, and the new owner, which does not know them, grants at once.
+TEST_CASE("A new owner grants nothing until the grants of the former owner have expired")
 {
     Fleet fleet(2);
     fleet.run(seconds(3), milliseconds(1), [] { return 0; });
@@ -148,7 +146,7 @@
     CHECK(answerBudget(*fleet.owner, request, fleet.now + grantTime + grantMargin).valid_ms() > 0);
 }
 
-TEST_CASE("A refusal by rate says when to come back")
+TEST_CASE("A refusal by rate carries the time until the next token")
 {
     Fleet fleet(1);
     fleet.owner.reset();
@@ -161,11 +159,10 @@
     CHECK(refusal->retryAfter >= milliseconds(10));
 }
 
-// A shop far below its limit is refused when ten of its clerks ask at once.
-// Order: the organisation asks a little for a while, so the entries hold small grants; then its
-// clerks ask at once, well within its burst and its concurrency.
-// Cause: a grant was cut to twice the last demand, and the entry refused beyond it.
-TEST_CASE("A pace that jumps within the burst is not refused")
+// Failure: an organisation far below its limit is refused when several of its callers send at once.
+// After little traffic the entries hold small grants, at most twice the last demand, and an entry
+// refused everything beyond its grant, although burst and concurrency allowed it.
+TEST_CASE("A sudden rise of the request rate within the burst is not refused")
 {
     Fleet fleet(2);
     int number = 0;
@@ -176,9 +173,9 @@
     CHECK(fleet.refused == 0);
 }
 
-// An organisation that is removed and declared again must not be limited by its share for ever: its
-// name is still on the list of those in use when the new one is asked for.
-TEST_CASE("An organisation that rests, goes and comes back asks for grants again")
+// Failure: an organisation that is removed and declared again gets only its static share for ever,
+// because its name is still on the list of active ones when the new one gets its first request.
+TEST_CASE("Grants are requested again for an organisation that was idle, removed and redeclared")
 {
     Fleet fleet(1);
     fleet.request(0);
--- a/Tests/Request/RequestMatrixTest.cpp
+++ b/Tests/Request/RequestMatrixTest.cpp
@@ -41,11 +41,12 @@
 
 struct CellResult
 {
-    std::vector<std::string> breaches;
-    bool met = false;
+    std::vector<std::string> violations;
+    bool applied = false;
 };
 
-/// One marked request meets the faults among neighbours; what was breached by the time all rests.
+/// Runs one request with the faults, and two requests without, until no event is left.
+/// @return The violated invariants, and whether every fault applied to a message.
 CellResult runCell(const std::vector<PlacedFault> &faults, const Scenario &scenario,
                    const RequestGuards &guards)
 {
@@ -53,21 +54,21 @@
     options.faults = faults;
     options.guards = guards;
     options.agents = scenario.agents;
-    const bool joined = has(faults, Fault::HomeJoinedBefore);
-    options.lastJoins = (joined || has(faults, Fault::HomeJoined)) && scenario.agents > 1;
+    const bool joined = has(faults, Fault::OwnerJoinedBefore);
+    options.lastAgentJoins = (joined || has(faults, Fault::OwnerJoined)) && scenario.agents > 1;
     RequestWorld world(options);
-    if (joined && options.lastJoins) {
+    if (joined && options.lastAgentJoins) {
         world.setDraining(options.agents - 1, false, false);
         world.run(seconds(6));
     }
     const CallerRequest request = scenario.idempotent ? world.idempotentRequest("door 7")
-        : options.lastJoins                           ? world.keyedForLast("door 7")
+        : options.lastAgentJoins                      ? world.keyedForLastAgent("door 7")
                                                       : world.keyedRequest("door 7");
-    world.callUntilTold(world.idempotentRequest("neighbour 1"), 0, false);
-    world.callUntilTold(world.keyedRequest("neighbour 2"), 1, false);
-    world.callUntilTold(request, 0, true);
+    world.callWithRetries(world.idempotentRequest("neighbour 1"), 0, false);
+    world.callWithRetries(world.keyedRequest("neighbour 2"), 1, false);
+    world.callWithRetries(request, 0, true);
     world.run(seconds(8));
-    return {world.breaches(), world.everyFaultMet()};
+    return {world.violations(), world.allFaultsApplied()};
 }
 
 std::string describe(const std::vector<PlacedFault> &faults)
@@ -81,11 +82,11 @@
 struct MatrixCount
 {
     int held = 0;
-    int notMet = 0;
-    std::string firstRed;
+    int notApplied = 0;
+    std::string firstViolation;
 };
 
-/// Runs cells of two faults (or one, when both are the same) until one is red.
+/// Runs cells of two faults, or of one without `pairs`, until one violates an invariant.
 MatrixCount runMatrix(const Scenario &scenario, const RequestGuards &guards, bool pairs)
 {
     const auto faults = everyFault();
@@ -97,18 +98,19 @@
             if (pairs)
                 cell.push_back(faults[second]);
             const CellResult result = runCell(cell, scenario, guards);
-            if (!result.breaches.empty()) {
-                count.firstRed =
-                    scenario.name + ", " + describe(cell) + ": " + result.breaches.front();
+            if (!result.violations.empty()) {
+                count.firstViolation =
+                    scenario.name + ", " + describe(cell) + ": " + result.violations.front();
                 return count;
             }
-            ++(result.met ? count.held : count.notMet);
+            ++(result.applied ? count.held : count.notApplied);
         }
     }
     return count;
 }
 
-/// Rows are faults, columns steps: "+" held, "-" the fault meets nothing there, "X" breached.
+/// Rows are faults, columns steps: "+" invariants held, "-" the fault has no effect there, "X" an
+/// invariant was violated.
 std::string grid(const Scenario &scenario)
 {
     std::string text = scenario.name + "\n";
@@ -118,7 +120,7 @@
         for (int step = 0; step < stepCount; ++step) {
             const PlacedFault placed{static_cast<Step>(step), static_cast<Fault>(fault)};
             const CellResult result = runCell({placed}, scenario, {});
-            row += !result.breaches.empty() ? " X" : result.met ? " +" : " -";
+            row += !result.violations.empty() ? " X" : result.applied ? " +" : " -";
         }
         text += row + "\n";
     }
@@ -134,8 +136,8 @@
     for (const Scenario &scenario : scenarios) {
         const MatrixCount pairs = runMatrix(scenario, {}, true);
         text += "\n" + grid(scenario) + "pairs: " + std::to_string(pairs.held) + " held, "
-            + std::to_string(pairs.notMet) + " where a fault meets nothing, first breached: "
-            + (pairs.firstRed.empty() ? "none" : pairs.firstRed) + "\n";
+            + std::to_string(pairs.notApplied) + " where a fault meets nothing, first breached: "
+            + (pairs.firstViolation.empty() ? "none" : pairs.firstViolation) + "\n";
     }
     return text;
 }
@@ -150,16 +152,16 @@
 
 } // namespace
 
-TEST_CASE("Without a fault everybody gets an answer at the first try")
+TEST_CASE("Without a fault every caller gets an answer at the first try")
 {
     for (const bool idempotent : {false, true}) {
         RequestWorld world((WorldOptions()));
-        world.callUntilTold(
+        world.callWithRetries(
             idempotent ? world.idempotentRequest("door 7") : world.keyedRequest("door 7"), 0, true);
         world.run(seconds(2));
         REQUIRE(world.calls.size() == 1);
-        CHECK(world.calls[0]->told == Told::Answer);
-        CHECK(world.breaches().empty());
+        CHECK(world.calls[0]->result == CallResult::Answer);
+        CHECK(world.violations().empty());
     }
 }
 
@@ -177,24 +179,25 @@
     std::mt19937 random(20261202);
     const auto faults = everyFault();
     for (const Scenario &scenario : scenarios) {
-        int met = 0;
+        int applied = 0;
         for (int i = 0; i < sample; ++i) {
             std::vector<PlacedFault> cell;
             for (int fault = 0; fault < 3; ++fault)
                 cell.push_back(faults[random() % faults.size()]);
             const CellResult result = runCell(cell, scenario, {});
-            met += result.met ? 1 : 0;
-            const std::string breach = result.breaches.empty() ? "none" : result.breaches.front();
+            applied += result.applied ? 1 : 0;
+            const std::string violation =
+                result.violations.empty() ? "none" : result.violations.front();
             INFO(scenario.name << ", " << describe(cell));
-            REQUIRE(breach == "none");
+            REQUIRE(violation == "none");
         }
-        std::cout << scenario.name << ": " << met << " of " << sample
+        std::cout << scenario.name << ": " << applied << " of " << sample
                   << " triples met, none breached\n";
     }
 }
 
-// The guard of refused tries takes three faults to be needed; AtMostOnceTest.cpp switches it off.
-TEST_CASE("Each guard switched off turns a cell red")
+// The guard of refused tries is needed only with three faults; AtMostOnceTest.cpp switches it off.
+TEST_CASE("Switching off any guard makes a cell violate an invariant")
 {
     struct Mutation
     {
@@ -219,14 +222,14 @@
         {"ownerOnly",
          &RequestGuards::ownerOnly,
          1,
-         {{Step::CallerToEntry, Fault::HomeJoinedBefore},
+         {{Step::CallerToEntry, Fault::OwnerJoinedBefore},
           {Step::CallerToEntry, Fault::CallerRepeats}}},
         {"keyMemory", &RequestGuards::keyMemory, 1, {{Step::CallerToEntry, Fault::CallerRepeats}}},
         {"keyFloor", &RequestGuards::keyFloor, 2, {{Step::AgentToBackend, Fault::SenderRestarted}}},
         {"ownership",
          &RequestGuards::ownership,
          1,
-         {{Step::CallerToEntry, Fault::HomeJoined}, {Step::CallerToEntry, Fault::CallerRepeats}}},
+         {{Step::CallerToEntry, Fault::OwnerJoined}, {Step::CallerToEntry, Fault::CallerRepeats}}},
         {"queueDeadline",
          &RequestGuards::queueDeadline,
          0,
@@ -235,10 +238,10 @@
     for (const Mutation &mutation : mutations) {
         const Scenario &scenario = scenarios[mutation.scenario];
         RequestGuards guards;
-        CHECK(runCell(mutation.cell, scenario, guards).breaches.empty());
+        CHECK(runCell(mutation.cell, scenario, guards).violations.empty());
         guards.*mutation.guard = false;
-        const auto breaches = runCell(mutation.cell, scenario, guards).breaches;
-        const std::string seen = breaches.empty() ? "nothing" : breaches.front();
+        const auto violations = runCell(mutation.cell, scenario, guards).violations;
+        const std::string seen = violations.empty() ? "nothing" : violations.front();
         std::cout << mutation.name << " off: " << scenario.name << ", " << describe(mutation.cell)
                   << ": " << seen << "\n";
         CHECK(seen != "nothing");
