--- a/Tests/Request/RequestWorld.cpp
+++ b/Tests/Request/RequestWorld.cpp
@@ -26,17 +26,17 @@
 
 namespace {
 
-/// Whether a fault can change a message. Callers are outside of the system: they are neither
-/// killed nor frozen here, but hang up. TCP drops a copy on the same connection; a copy of a
-/// caller's request on another connection is a repeat.
+/// Whether a fault can affect a message. Callers are not part of the system: they are neither
+/// killed nor frozen here, but hang up. TCP drops a duplicate on the same connection, and a
+/// duplicate of a caller's request on another connection is a repeat.
 bool hasEffect(Fault fault, Step step, const Node *sender, const Node *receiver, bool mayJoin)
 {
     switch (fault) {
     case Fault::Duplicated:
         return step != Step::CallerToEntry && step != Step::AgentToBackend
             && step != Step::EntryToCaller;
-    case Fault::HomeJoined:
-    case Fault::HomeJoinedBefore:
+    case Fault::OwnerJoined:
+    case Fault::OwnerJoinedBefore:
         return mayJoin;
     case Fault::SenderKilled:
     case Fault::SenderFrozen:
@@ -79,20 +79,20 @@
         server.set_failure_domain("domain-" + std::to_string(i % 3));
         server.set_vm("vm-" + std::to_string(i));
         server.set_concurrency(options.concurrency);
-        server.set_draining(options.lastJoins && i == options.agents - 1);
+        server.set_draining(options.lastAgentJoins && i == options.agents - 1);
         publish(v1::OBJECT_KIND_BACKEND_SERVER, agentName(i), object);
     }
     agents.resize(options.agents);
     backends.resize(options.agents);
     entries.resize(options.entries);
     for (int i = 0; i < options.agents; ++i) {
-        backends[i].killers = &killers;
+        backends[i].poisonFingerprints = &poisonFingerprints;
         startAgent(i);
     }
     for (int i = 0; i < options.entries; ++i)
         startEntry(i);
     handovers();
-    now += settled;
+    now += settleTime;
     every(tickTime, [this] { everyTick(); });
     every(heartbeatTime, [this] { heartbeats(); });
 }
@@ -191,7 +191,7 @@
     });
 }
 
-bool RequestWorld::everyFaultMet() const
+bool RequestWorld::allFaultsApplied() const
 {
     return faultsWithoutEffect_ == 0
         && std::all_of(faultUsed_.begin(), faultUsed_.end(), [](bool used) { return used; });
@@ -212,14 +212,17 @@
             continue;
         faultUsed_[i] = true;
         faultsWithoutEffect_ +=
-            hasEffect(options_.faults[i].fault, step, sender, receiver, options_.lastJoins) ? 0 : 1;
+            hasEffect(options_.faults[i].fault, step, sender, receiver, options_.lastAgentJoins)
+            ? 0
+            : 1;
         if (applyFault(options_.faults[i].fault, call, sender, receiver, transfer))
             return;
     }
-    after(hop, transfer);
+    after(hopDelay, transfer);
 }
 
-/// Applies a fault to a message. Returns whether the message itself was dealt with.
+/// Applies a fault to a message.
+/// @return Whether the fault dropped or rescheduled the message; otherwise the caller delivers it.
 bool RequestWorld::applyFault(Fault fault, std::size_t call, Node *sender, Node *receiver,
                               const std::function<void()> &transfer)
 {
@@ -237,7 +240,7 @@
         return true;
     case Fault::SenderKilled:
     case Fault::SenderRestarted:
-        after(hop + hop, [=, this] { kill(sender, fault == Fault::SenderRestarted); });
+        after(hopDelay + hopDelay, [=, this] { kill(sender, fault == Fault::SenderRestarted); });
         return false;
     case Fault::ReceiverKilled:
     case Fault::ReceiverRestarted:
@@ -253,27 +256,27 @@
         return false;
     case Fault::Misdelivered:
         for (std::size_t other = 0; other < calls.size(); ++other) {
-            if (other != call && !calls[other]->told && calls[other]->entry == calls[call]->entry)
+            if (other != call && !calls[other]->result && calls[other]->entry == calls[call]->entry)
                 calls[call]->misdeliveredTo = other;
         }
         faultsWithoutEffect_ += calls[call]->misdeliveredTo ? 0 : 1;
         return false;
-    case Fault::HomeLeft:
-        if (const int home = homeOf(calls[call]->request.key); home >= 0)
-            setDraining(home, true);
+    case Fault::OwnerLeft:
+        if (const int owner = ownerOf(calls[call]->request.key); owner >= 0)
+            setDraining(owner, true);
         return false;
-    case Fault::HomeJoined:
-        if (options_.lastJoins)
+    case Fault::OwnerJoined:
+        if (options_.lastAgentJoins)
             setDraining(options_.agents - 1, false);
         return false;
-    case Fault::HomeJoinedBefore:
+    case Fault::OwnerJoinedBefore:
         return false;
     case Fault::CallerRepeats: {
         CallerRequest repeat = calls[call]->request;
         repeat.id = "request-" + std::to_string(++lastId_);
         ++repeat.callerAttempt;
         const int other = (calls[call]->entry + 1) % options_.entries;
-        after(hop, [=, this] { callUntilTold(repeat, other, false); });
+        after(hopDelay, [=, this] { callWithRetries(repeat, other, false); });
         return false;
     }
     }
@@ -302,14 +305,14 @@
     for (const auto &[stream, callAndHead] : killed.streams) {
         const std::size_t call = callAndHead.first;
         Call &lost = *calls[call];
-        after(hop, [this, call, &lost, attempt = callAndHead.second.attempt()] {
+        after(hopDelay, [this, call, &lost, attempt = callAndHead.second.attempt()] {
             deliver(entries[lost.entry].node, lost.entryEpoch, [this, call, &lost, attempt] {
-                if (lost.told || lost.state.attempt != attempt || !lost.state.outstanding)
+                if (lost.result || lost.state.attempt != attempt || !lost.state.outstanding)
                     return;
                 Entry &entry = entries[lost.entry];
                 if (lost.state.answering) {
                     answerEnded(entry.state, *entry.shared, lost.state, false, now);
-                    tell(call, Told::Cut, v1::REASON_CONNECTION_LOST);
+                    finishCall(call, CallResult::Cut, v1::REASON_CONNECTION_LOST);
                 } else {
                     act(call, attemptLost(entry.state, *entry.shared, lost.state, true, now));
                 }
@@ -355,17 +358,17 @@
     entries[entry].node.disturbed = true;
     for (std::size_t i = 0; i < calls.size(); ++i) {
         Call &call = *calls[i];
-        if (call.entry != entry || call.entryEpoch != entries[entry].node.epoch || call.told)
+        if (call.entry != entry || call.entryEpoch != entries[entry].node.epoch || call.result)
             continue;
         cancelStream(i);
-        tell(i, Told::ConnectionLost, v1::REASON_CONNECTION_LOST);
+        finishCall(i, CallResult::ConnectionLost, v1::REASON_CONNECTION_LOST);
     }
     ++entries[entry].node.epoch;
     if (restart)
         after(restartTime, [this, entry] { startEntry(entry); });
 }
 
-void RequestWorld::setDraining(int agent, bool draining, bool entryHears)
+void RequestWorld::setDraining(int agent, bool draining, bool informEntry1)
 {
     v1::Object object =
         config.objects.at({v1::OBJECT_KIND_BACKEND_SERVER, agentName(agent)}).object();
@@ -373,7 +376,7 @@
     publish(v1::OBJECT_KIND_BACKEND_SERVER, agentName(agent), object);
     const auto changed = std::make_shared<ConfigState>(config);
     for (int i = 0; i < options_.agents; ++i) {
-        after(i == agent ? hop : configLag, [this, i, changed] {
+        after(i == agent ? hopDelay : configLag, [this, i, changed] {
             deliver(agents[i].node, agents[i].node.epoch, [this, i, changed] {
                 act(i,
                     setAdmissionConfiguration(agents[i].admission, *changed, agentName(i), now,
@@ -381,8 +384,8 @@
             });
         });
     }
-    for (int i = 0; i < (entryHears ? options_.entries : 1); ++i) {
-        after(i == 0 ? hop : 2 * configLag, [this, i, changed] {
+    for (int i = 0; i < (informEntry1 ? options_.entries : 1); ++i) {
+        after(i == 0 ? hopDelay : 2 * configLag, [this, i, changed] {
             deliver(entries[i].node, entries[i].node.epoch, [this, i, changed] {
                 setConfiguration(entries[i].state, *entries[i].shared, *changed, now);
             });
--- a/Tests/Request/RequestWorld.h
+++ b/Tests/Request/RequestWorld.h
@@ -14,7 +14,7 @@
 
 namespace wisteria::test {
 
-constexpr milliseconds hop{1};
+constexpr milliseconds hopDelay{1};
 constexpr milliseconds tickTime{10};
 constexpr milliseconds heartbeatTime{250};
 constexpr milliseconds lateBy{1200};
@@ -24,15 +24,16 @@
 constexpr milliseconds restartTime{200};
 constexpr milliseconds backendRestartTime{800};
 constexpr milliseconds callDeadline{600};
-constexpr milliseconds callerPatience{700};
+constexpr milliseconds callerTimeout{700};
 constexpr milliseconds repeatAfter{100};
-/// From the world's start to the first request: homes have released and floors have passed.
-constexpr seconds settled{10};
+/// From the world's start to the first request: by then former owners have released their keys, and
+/// new keys are above the floors.
+constexpr seconds settleTime{10};
 constexpr const char *serviceName = "locker";
 
 std::string agentName(int agent);
 
-/// Messages on a request's way; a fault meets one of them.
+/// Messages of one request in order; a fault applies to one of them.
 enum class Step {
     CallerToEntry,
     EntryToAgent,
@@ -56,14 +57,14 @@
     ReceiverFrozen,
     SenderRestarted,
     ReceiverRestarted,
-    /// The answer also reaches another request of the same entry.
+    /// The frames also reach another request of the same entry.
     Misdelivered,
-    /// The key's home is drained; another takes over.
-    HomeLeft,
-    /// A backend server joins and becomes the key's home.
-    HomeJoined,
-    /// It joined long before, but one entry has not heard of it.
-    HomeJoinedBefore,
+    /// The key's owner is drained; another backend server becomes the owner.
+    OwnerLeft,
+    /// A backend server joins and becomes the key's owner.
+    OwnerJoined,
+    /// It joined long before, but one entry was not informed.
+    OwnerJoinedBefore,
     CallerRepeats
 };
 constexpr int faultCount = 15;
@@ -77,8 +78,8 @@
     Fault fault;
 };
 
-/// What a caller was told at the end of a try.
-enum class Told { Answer, Cut, NotRun, OutcomeUnknown, AlreadyRun, ConnectionLost };
+/// How a caller's try ended.
+enum class CallResult { Answer, Cut, NotRun, OutcomeUnknown, AlreadyRun, ConnectionLost };
 
 struct WorldOptions
 {
@@ -86,25 +87,25 @@
     int agents = 3;
     std::uint32_t concurrency = 1;
     std::uint32_t queueBound = 4;
-    /// The last agent is drained at first and joins later.
-    bool lastJoins = false;
+    /// The last agent is drained at the start and joins later.
+    bool lastAgentJoins = false;
     RequestGuards guards = {};
     std::vector<PlacedFault> faults = {};
 };
 
-/// Any process of the world: connections to an earlier epoch are dead.
+/// A process of the world. Connections to an earlier epoch are closed.
 struct Node
 {
     bool alive = true;
     bool frozen = false;
     int epoch = 0;
-    /// An entry whose callers may rightly miss their deadline.
+    /// Was frozen or killed, so that callers of this entry may miss their deadline.
     bool disturbed = false;
     std::vector<std::function<void()>> inbox;
 };
 
-/// Two entries, a few agents and counting backend servers in virtual time. The decisions are the
-/// product's own; what is faked are sockets, clocks and backend servers.
+/// Simulates entries, agents and backend servers that count runs, in virtual time. The decisions
+/// are the product's code; sockets, clocks and backend servers are simulated.
 class RequestWorld
 {
 public:
@@ -118,46 +119,47 @@
         CallerRequest request;
         RequestState state;
         TimePoint startedAt;
-        std::optional<Told> told;
+        std::optional<CallResult> result;
         v1::Reason reason = v1::REASON_UNSPECIFIED;
         std::string body;
-        std::function<void(Told)> whenTold;
+        std::function<void(CallResult)> onResult;
         bool marked = false;
-        /// The call that also gets this one's frames.
+        /// Another call that gets this one's frames too.
         std::optional<std::size_t> misdeliveredTo;
     };
 
     TimePoint now;
     WallTime wall() const;
     void after(milliseconds delay, std::function<void()> action);
-    /// Runs for a time, or until nothing more is going to happen.
+    /// Runs for a time; skips to its end once only periodic events are left.
     void run(milliseconds time);
 
-    /// Sends a try; faults meet only marked ones.
+    /// Sends a try; faults apply only to marked ones.
     std::size_t submit(int entry, const CallerRequest &request, bool marked = false,
-                       std::function<void(Told)> whenTold = {});
+                       std::function<void(CallResult)> onResult = {});
     void hangUp(std::size_t call);
-    /// A caller that repeats through the other entries until it has an answer or is told "not run".
-    void callUntilTold(const CallerRequest &request, int entry, bool marked, int triesLeft = 4);
+    /// Sends a request and repeats it through the other entries until it has an answer or is
+    /// refused as not run or already run.
+    void callWithRetries(const CallerRequest &request, int entry, bool marked, int triesLeft = 4);
 
     CallerRequest idempotentRequest(const std::string &content);
     CallerRequest keyedRequest(const std::string &content);
-    /// A key whose home is the last agent as soon as it joins.
-    CallerRequest keyedForLast(const std::string &content);
-    /// Index of the key's home; -1 if every backend server is drained.
-    int homeOf(const std::string &key) const;
+    /// A request with a key that the last agent owns as soon as it joins.
+    CallerRequest keyedForLastAgent(const std::string &content);
+    /// Index of the key's owner; -1 if every backend server is drained.
+    int ownerOf(const std::string &key) const;
 
     void killAgent(int agent, bool restart);
     void killBackend(int agent, bool restart);
     void killEntry(int entry, bool restart);
     void freeze(Node &node, milliseconds time);
-    /// Drains or joins a backend server; entry 1 hears of it late or not at all.
-    void setDraining(int agent, bool draining, bool entryHears = true);
+    /// Drains or joins a backend server; entry 1 is informed late, or not at all.
+    void setDraining(int agent, bool draining, bool informEntry1 = true);
 
-    /// Whether every placed fault met a message that it can change.
-    bool everyFaultMet() const;
-    /// Breaches of the invariants so far; to be read after the world came to rest.
-    std::vector<std::string> breaches() const;
+    /// Whether every fault applied to a message that it can affect.
+    bool allFaultsApplied() const;
+    /// Violations of the invariants so far; valid once no more than periodic events are left.
+    std::vector<std::string> violations() const;
 
     struct Agent
     {
@@ -168,11 +170,11 @@
     struct Backend
     {
         Node node;
-        /// Fingerprints that kill it.
-        std::set<std::uint64_t> *killers = nullptr;
+        /// Fingerprints of requests that crash it.
+        std::set<std::uint64_t> *poisonFingerprints = nullptr;
         bool hung = false;
         std::set<StreamId> running;
-        /// Streams whose request arrived: TCP hands a copy over only once.
+        /// Streams whose request arrived: TCP delivers a duplicate only once.
         std::set<StreamId> received;
     };
     struct Entry
@@ -187,10 +189,10 @@
     std::vector<Agent> agents;
     std::vector<Backend> backends;
     ConfigState config;
-    std::set<std::uint64_t> killers;
+    std::set<std::uint64_t> poisonFingerprints;
     int backendDeaths = 0;
     milliseconds serviceTime{20};
-    /// The caller's tries that ran, by key or, for idempotent requests, by request id.
+    /// Numbers of the caller's tries that ran, by key or, for idempotent requests, by request id.
     std::map<std::string, std::vector<std::uint32_t>> runs;
 
 private:
@@ -217,7 +219,7 @@
     void frameArrived(std::size_t call, const v1::AgentFrame &frame);
     void cancelStream(std::size_t call);
     void checkDeadline(std::size_t call);
-    void tell(std::size_t call, Told told, v1::Reason reason);
+    void finishCall(std::size_t call, CallResult result, v1::Reason reason);
     void act(int agent, const AdmissionActions &actions);
     void startBackend(int agent, StreamId stream);
     void backendRuns(int agent, StreamId stream, std::size_t call, const v1::RunHead &head);
@@ -237,17 +239,17 @@
     WorldOptions options_;
     std::vector<bool> faultUsed_;
     int faultsWithoutEffect_ = 0;
-    /// All calls before it were told their end.
+    /// All calls before it have ended.
     std::size_t firstOpen_ = 0;
     std::priority_queue<Event> events_;
     std::uint64_t sequence_ = 0;
-    /// Events to come that are not periodic.
+    /// Scheduled events that are not periodic.
     int pending_ = 0;
     StreamId lastStream_ = 0;
     std::uint64_t lastId_ = 0;
-    std::vector<std::string> seenBreaches_;
-    /// Highest try of which a caller was told that it and all earlier ones did not run.
-    std::map<std::string, std::uint32_t> saidNotRun_;
+    std::vector<std::string> seenViolations_;
+    /// Number of the latest try that was refused as NotRun, by identity. No try up to it may run.
+    std::map<std::string, std::uint32_t> notRunReported_;
 };
 
 } // namespace wisteria::test
--- a/Tests/Request/RequestWorldAgents.cpp
+++ b/Tests/Request/RequestWorldAgents.cpp
@@ -30,11 +30,11 @@
     const v1::RunHead head = found->second.second;
     for (const AgentAttempt &run : agents[agent].admission.running) {
         if (run.stream == stream && run.deadline <= now)
-            seenBreaches_.push_back("a run began past its deadline");
+            seenViolations_.push_back("a run began past its deadline");
     }
     const int agentEpoch = agents[agent].node.epoch;
     if (!backends[agent].node.alive) {
-        after(hop, [=, this] {
+        after(hopDelay, [=, this] {
             deliver(agents[agent].node, agentEpoch, [=, this] {
                 endRun(agent, stream, {BackendEnd::Refused, 0, "", std::nullopt});
             });
@@ -55,7 +55,7 @@
     const std::string identity = head.idempotent() ? head.request_id() : head.key();
     if (!backend.hung)
         runs[identity].push_back(head.caller_attempt());
-    if (killers.count(head.fingerprint()) > 0) {
+    if (poisonFingerprints.count(head.fingerprint()) > 0) {
         after(milliseconds(2), [this, agent, epoch = backend.node.epoch] {
             if (backends[agent].node.epoch == epoch && backends[agent].node.alive)
                 killBackend(agent, true);
@@ -130,11 +130,11 @@
         if (agents[i].node.alive && !agents[i].node.frozen)
             act(i, tick(agents[i].admission, now, wall()));
     }
-    while (firstOpen_ < calls.size() && calls[firstOpen_]->told)
+    while (firstOpen_ < calls.size() && calls[firstOpen_]->result)
         ++firstOpen_;
     for (std::size_t i = firstOpen_; i < calls.size(); ++i) {
         Call &call = *calls[i];
-        const bool open = call.startedAt != TimePoint() && !call.told && !call.state.ended;
+        const bool open = call.startedAt != TimePoint() && !call.result && !call.state.ended;
         const Node &entry = entries[call.entry].node;
         if (!open || entry.frozen || entry.epoch != call.entryEpoch || call.state.deadline > now)
             continue;
@@ -142,7 +142,7 @@
         if (call.state.answering) {
             cancelStream(i);
             answerEnded(at.state, *at.shared, call.state, false, now);
-            tell(i, Told::Cut, v1::REASON_DEADLINE);
+            finishCall(i, CallResult::Cut, v1::REASON_DEADLINE);
         } else {
             act(i, deadlinePassed(at.state, *at.shared, call.state, now));
         }
@@ -168,7 +168,7 @@
                 *heartbeat.add_suspects() = report;
             for (const v1::SuspectReport &report : suspectsToReport(*entry.shared, now))
                 mergeSuspectReport(agent.admission.suspects, report, now);
-            observeSuspects(*entry.shared, heartbeat, now);
+            mergeSuspects(*entry.shared, heartbeat, now);
         }
     }
 }
@@ -178,32 +178,32 @@
     for (Agent &agent : agents) {
         if (!agent.node.alive || agent.node.frozen)
             continue;
-        for (const HandoverWanted &wanted : handoversWanted(agent.admission)) {
-            const Agent &former = agents[agentNamed(wanted.formerOwner)];
+        for (const HandoverRequest &request : pendingHandovers(agent.admission)) {
+            const Agent &former = agents[agentNamed(request.formerOwner)];
             if (former.node.alive && !former.node.frozen) {
-                handoverAnswered(agent.admission, wanted.formerOwner,
-                                 answerHandover(former.admission, wanted.message), now, wall());
+                handoverAnswered(agent.admission, request.formerOwner,
+                                 answerHandover(former.admission, request.message), now, wall());
             }
         }
     }
 }
 
-std::vector<std::string> RequestWorld::breaches() const
+std::vector<std::string> RequestWorld::violations() const
 {
-    std::vector<std::string> found = seenBreaches_;
+    std::vector<std::string> found = seenViolations_;
     for (const auto &[identity, tries] : runs) {
         const bool keyed = identity.find("request-") != 0;
         if (keyed && tries.size() > 1)
             found.push_back("a key ran " + std::to_string(tries.size()) + " times");
-        // "Not run" covers the try that it answers and all before, not one made meanwhile.
-        const auto said = saidNotRun_.find(identity);
+        // NotRun covers the try that it answers and earlier ones, but not later ones.
+        const auto reported = notRunReported_.find(identity);
         const auto earliest = std::min_element(tries.begin(), tries.end());
-        if (said != saidNotRun_.end() && *earliest <= said->second)
-            found.push_back("told 'not run' of what ran");
+        if (reported != notRunReported_.end() && *earliest <= reported->second)
+            found.push_back("refused as 'not run' although it ran");
     }
     for (const auto &call : calls) {
-        if (!call->told)
-            found.push_back("a caller was told nothing");
+        if (!call->result)
+            found.push_back("a call did not end");
     }
     return found;
 }
--- a/Tests/Request/RequestWorldCallers.cpp
+++ b/Tests/Request/RequestWorldCallers.cpp
@@ -44,7 +44,7 @@
     return request;
 }
 
-CallerRequest RequestWorld::keyedForLast(const std::string &content)
+CallerRequest RequestWorld::keyedForLastAgent(const std::string &content)
 {
     std::vector<std::string> names;
     for (int i = 0; i < options_.agents; ++i)
@@ -60,7 +60,7 @@
     return std::stoi(name.substr(name.find('-') + 1));
 }
 
-int RequestWorld::homeOf(const std::string &key) const
+int RequestWorld::ownerOf(const std::string &key) const
 {
     std::vector<std::string> names;
     for (int i = 0; i < options_.agents; ++i) {
@@ -68,12 +68,12 @@
         if (!object.object().backend_server().draining())
             names.push_back(agentName(i));
     }
-    const auto home = rendezvousChoice(key, names);
-    return home ? agentNamed(*home) : -1;
+    const auto owner = rendezvousChoice(key, names);
+    return owner ? agentNamed(*owner) : -1;
 }
 
 std::size_t RequestWorld::submit(int entry, const CallerRequest &request, bool marked,
-                                 std::function<void(Told)> whenTold)
+                                 std::function<void(CallResult)> onResult)
 {
     const std::size_t call = calls.size();
     calls.push_back(std::make_unique<Call>());
@@ -81,15 +81,17 @@
     calls[call]->entryEpoch = entries[entry].node.epoch;
     calls[call]->request = request;
     calls[call]->marked = marked;
-    calls[call]->whenTold = std::move(whenTold);
+    calls[call]->onResult = std::move(onResult);
     if (!entries[entry].node.alive) {
-        after(hop, [this, call] { tell(call, Told::ConnectionLost, v1::REASON_CONNECTION_LOST); });
+        after(hopDelay, [this, call] {
+            finishCall(call, CallResult::ConnectionLost, v1::REASON_CONNECTION_LOST);
+        });
         return call;
     }
     send(Step::CallerToEntry, call, nullptr, &entries[entry].node, [this, call] {
         Call &started = *calls[call];
-        // A second copy of the same bytes would be a second HTTP request on another connection.
-        if (started.told || started.startedAt != TimePoint())
+        // A duplicate of a request on the same connection does not start a second request.
+        if (started.result || started.startedAt != TimePoint())
             return;
         started.startedAt = now;
         Entry &at = entries[started.entry];
@@ -101,33 +103,33 @@
 void RequestWorld::hangUp(std::size_t call)
 {
     Call &left = *calls[call];
-    if (left.told)
+    if (left.result)
         return;
-    left.told = Told::ConnectionLost;
+    left.result = CallResult::ConnectionLost;
     deliver(entries[left.entry].node, left.entryEpoch, [this, call, &left] {
         cancelStream(call);
         callerLeft(entries[left.entry].state, *entries[left.entry].shared, left.state, now);
     });
-    if (left.whenTold)
-        left.whenTold(Told::ConnectionLost);
+    if (left.onResult)
+        left.onResult(CallResult::ConnectionLost);
 }
 
-void RequestWorld::callUntilTold(const CallerRequest &request, int entry, bool marked,
-                                 int triesLeft)
+void RequestWorld::callWithRetries(const CallerRequest &request, int entry, bool marked,
+                                   int triesLeft)
 {
-    const auto repeat = [=, this](Told told) {
-        const bool settledNow =
-            told == Told::Answer || told == Told::NotRun || told == Told::AlreadyRun;
-        if (settledNow || triesLeft <= 1)
+    const auto repeat = [=, this](CallResult result) {
+        const bool finished = result == CallResult::Answer || result == CallResult::NotRun
+            || result == CallResult::AlreadyRun;
+        if (finished || triesLeft <= 1)
             return;
         CallerRequest next = request;
         next.id = "request-" + std::to_string(++lastId_);
         ++next.callerAttempt;
         const int other = (entry + 1) % options_.entries;
-        after(repeatAfter, [=, this] { callUntilTold(next, other, marked, triesLeft - 1); });
+        after(repeatAfter, [=, this] { callWithRetries(next, other, marked, triesLeft - 1); });
     };
     const std::size_t call = submit(entry, request, marked, repeat);
-    after(callerPatience, [this, call] { hangUp(call); });
+    after(callerTimeout, [this, call] { hangUp(call); });
 }
 
 void RequestWorld::act(std::size_t call, const EntryAction &action)
@@ -137,11 +139,11 @@
     if (const auto *refusal = std::get_if<Refusal>(&action)) {
         checkDeadline(call);
         cancelStream(call);
-        const Told told = refusal->end == EndKind::NotRun ? Told::NotRun
-            : refusal->end == EndKind::OutcomeUnknown     ? Told::OutcomeUnknown
-                                                          : Told::AlreadyRun;
+        const CallResult result = refusal->end == EndKind::NotRun ? CallResult::NotRun
+            : refusal->end == EndKind::OutcomeUnknown             ? CallResult::OutcomeUnknown
+                                                                  : CallResult::AlreadyRun;
         send(Step::EntryToCaller, call, &entries[calls[call]->entry].node, nullptr,
-             [this, call, told, reason = refusal->reason] { tell(call, told, reason); });
+             [this, call, result, reason = refusal->reason] { finishCall(call, result, reason); });
     }
 }
 
@@ -152,9 +154,9 @@
     Call &sender = *calls[call];
     Node &entry = entries[sender.entry].node;
     if (!agents[agent].node.alive) {
-        after(hop, [this, call, &sender, &entry, number = attempt.head.attempt()] {
+        after(hopDelay, [this, call, &sender, &entry, number = attempt.head.attempt()] {
             deliver(entry, sender.entryEpoch, [this, call, &sender, number] {
-                if (sender.told || sender.state.attempt != number)
+                if (sender.result || sender.state.attempt != number)
                     return;
                 Entry &at = entries[sender.entry];
                 act(call, attemptLost(at.state, *at.shared, sender.state, false, now));
@@ -166,7 +168,7 @@
     agents[agent].streams[stream] = {call, head};
     const auto arrived = std::make_shared<bool>(false);
     send(Step::EntryToAgent, call, &entry, &agents[agent].node, [=, this] {
-        // A copy arrives on a stream of its own.
+        // A duplicate arrives on a separate stream.
         const bool copy = std::exchange(*arrived, true);
         const StreamId name = copy ? ++lastStream_ : stream;
         if (copy)
@@ -181,7 +183,7 @@
         for (const auto &[stream, callAndHead] : agents[i].streams) {
             if (callAndHead.first != call)
                 continue;
-            after(hop, [this, i, stream = stream] {
+            after(hopDelay, [this, i, stream = stream] {
                 deliver(agents[i].node, agents[i].node.epoch, [this, i, stream] {
                     act(i, streamCancelled(agents[i].admission, stream, now));
                 });
@@ -195,24 +197,24 @@
     const Call &ended = *calls[call];
     const bool late = now > ended.state.deadline + 2 * tickTime;
     if (late && ended.startedAt != TimePoint() && !entries[ended.entry].node.disturbed)
-        seenBreaches_.push_back("a caller waited past its deadline");
+        seenViolations_.push_back("a caller waited past its deadline");
 }
 
-void RequestWorld::tell(std::size_t call, Told told, v1::Reason reason)
+void RequestWorld::finishCall(std::size_t call, CallResult result, v1::Reason reason)
 {
     Call &ended = *calls[call];
-    if (ended.told)
+    if (ended.result)
         return;
-    ended.told = told;
+    ended.result = result;
     ended.reason = reason;
-    if (told == Told::NotRun)
-        saidNotRun_[identityOf(ended.request)] =
-            std::max(saidNotRun_[identityOf(ended.request)], ended.request.callerAttempt);
+    if (result == CallResult::NotRun)
+        notRunReported_[identityOf(ended.request)] =
+            std::max(notRunReported_[identityOf(ended.request)], ended.request.callerAttempt);
     const std::string expected = "answer to " + std::to_string(ended.request.fingerprint);
-    if (told == Told::Answer && ended.body != expected)
-        seenBreaches_.push_back("a caller got '" + ended.body + "'");
-    if (ended.whenTold)
-        ended.whenTold(told);
+    if (result == CallResult::Answer && ended.body != expected)
+        seenViolations_.push_back("a caller got '" + ended.body + "'");
+    if (ended.onResult)
+        ended.onResult(result);
 }
 
 void RequestWorld::frameArrived(std::size_t call, const v1::AgentFrame &frame)
@@ -225,13 +227,13 @@
     if (mine)
         receiver.body += frame.chunk();
     act(call, action);
-    if (!mine || !frame.has_end() || !receiver.state.answering || receiver.told)
+    if (!mine || !frame.has_end() || !receiver.state.answering || receiver.result)
         return;
-    const bool whole = answerIsWhole(receiver.state, frame.end());
+    const bool whole = isAnswerComplete(receiver.state, frame.end());
     checkDeadline(call);
     answerEnded(entry.state, *entry.shared, receiver.state, whole, now);
     send(Step::EntryToCaller, call, &entry.node, nullptr, [this, call, whole] {
-        tell(call, whole ? Told::Answer : Told::Cut, v1::REASON_UNSPECIFIED);
+        finishCall(call, whole ? CallResult::Answer : CallResult::Cut, v1::REASON_UNSPECIFIED);
     });
 }
 
--- a/Tests/Request/RouteTest.cpp
+++ b/Tests/Request/RouteTest.cpp
@@ -50,26 +50,27 @@
           == std::nullopt);
 }
 
-TEST_CASE("A prefix stays where it is cached until that backend server is loaded beyond the bound")
+TEST_CASE(
+    "A prefix goes to the backend server that caches it until that is loaded beyond the bound")
 {
     auto candidates = named({"a", "b", "c"});
     v1::RoutingPolicy policy = loadOnly();
     policy.set_affinity_weight(0.5);
     RouteQuery query = queryTrying({});
     query.prefix = 7;
-    const std::size_t home = *chooseBackendServer(candidates, policy, query, start);
+    const std::size_t preferred = *chooseBackendServer(candidates, policy, query, start);
     for (int i = 0; i < 20; ++i) {
         query.requestId = std::to_string(i);
-        CHECK(chooseBackendServer(candidates, policy, query, start) == home);
+        CHECK(chooseBackendServer(candidates, policy, query, start) == preferred);
     }
-    candidates[home].concurrency = 4;
-    candidates[home].running = 1;
-    CHECK(chooseBackendServer(candidates, policy, query, start) == home);
-    candidates[home].running = 4;
-    CHECK(chooseBackendServer(candidates, policy, query, start) != home);
+    candidates[preferred].concurrency = 4;
+    candidates[preferred].running = 1;
+    CHECK(chooseBackendServer(candidates, policy, query, start) == preferred);
+    candidates[preferred].running = 4;
+    CHECK(chooseBackendServer(candidates, policy, query, start) != preferred);
 }
 
-TEST_CASE("Queues weigh less for a high priority, and the entry's own failure domain is preferred")
+TEST_CASE("Queues count less for a high priority, and the entry's own failure domain is preferred")
 {
     auto candidates = named({"queue", "busy"});
     candidates[0].queued = 3;
@@ -86,46 +87,45 @@
     CHECK(chooseBackendServer(domains, policy, query, start) == 1);
 }
 
-// Callers wait out their deadlines at a backend server that accepts and never answers.
-// Order: attempts time out in a row; later it recovers.
-// Cause: a stalled process keeps its connections open.
-TEST_CASE("A backend server that fails twice is shunned, probed by one attempt and used again")
+// Failure: callers wait until their deadline at a backend server that accepts requests and never
+// answers. A stalled process keeps its connections open, so consecutive attempts time out until it
+// recovers.
+TEST_CASE("A backend server that fails twice is ejected, probed by one attempt and used again")
 {
     Candidate candidate;
     TimePoint now = start;
     for (std::uint32_t i = 0; i < ejectAfterFailures; ++i) {
-        CHECK(mayBeAsked(candidate, now));
+        CHECK(isEligible(candidate, now));
         attemptSent(candidate, now);
-        attemptOver(candidate, true, now);
+        attemptEnded(candidate, true, now);
     }
-    CHECK_FALSE(mayBeAsked(candidate, now));
+    CHECK_FALSE(isEligible(candidate, now));
     now += minEjection;
-    CHECK(mayBeAsked(candidate, now));
+    CHECK(isEligible(candidate, now));
     attemptSent(candidate, now);
-    CHECK_FALSE(mayBeAsked(candidate, now));
-    attemptOver(candidate, true, now);
-    CHECK_FALSE(mayBeAsked(candidate, now + minEjection));
+    CHECK_FALSE(isEligible(candidate, now));
+    attemptEnded(candidate, true, now);
+    CHECK_FALSE(isEligible(candidate, now + minEjection));
     now += 2 * minEjection;
     attemptSent(candidate, now);
-    attemptHeard(candidate, now);
-    CHECK(mayBeAsked(candidate, now));
+    attemptFrameReceived(candidate, now);
+    CHECK(isEligible(candidate, now));
 }
 
-TEST_CASE("Silence beyond several service times counts as a stall")
+TEST_CASE("A backend server that is silent for several service times counts as stalled")
 {
     Candidate candidate;
     candidate.serviceTime = seconds(1);
     attemptSent(candidate, start);
-    CHECK(mayBeAsked(candidate, start + seconds(8)));
-    CHECK_FALSE(mayBeAsked(candidate, start + seconds(10)));
-    attemptHeard(candidate, start + seconds(11));
-    CHECK(mayBeAsked(candidate, start + seconds(12)));
+    CHECK(isEligible(candidate, start + seconds(8)));
+    CHECK_FALSE(isEligible(candidate, start + seconds(10)));
+    attemptFrameReceived(candidate, start + seconds(11));
+    CHECK(isEligible(candidate, start + seconds(12)));
 }
 
-// Every quotation takes a minute, and the third caller is refused although nothing is wrong.
-// Order: each backend server runs one long request and is silent; another request comes.
-// Cause: silence can't be told from a stall.
-TEST_CASE("When all backend servers are silent, the least loaded is asked all the same")
+// Failure: a caller is refused although no backend server has failed. Each of them runs one long
+// request and is silent meanwhile, which an entry can't distinguish from a stall.
+TEST_CASE("When all backend servers are silent, the least loaded one is used nevertheless")
 {
     auto candidates = named({"a", "b", "c"});
     for (Candidate &candidate : candidates)
@@ -133,7 +133,7 @@
     attemptSent(candidates[0], start);
     candidates[2].down = true;
     const TimePoint later = start + seconds(30);
-    CHECK_FALSE(mayBeAsked(candidates[1], later));
+    CHECK_FALSE(isEligible(candidates[1], later));
     CHECK(chooseBackendServer(candidates, loadOnly(), queryTrying({}), later) == 1);
 }
 
@@ -163,14 +163,14 @@
             }
             CHECK(domains.size() == static_cast<std::size_t>(row.domains));
         }
-        int least = 1'000'000;
-        int most = 0;
+        int minTimes = 1'000'000;
+        int maxTimes = 0;
         for (const auto &[name, times] : covered) {
-            least = std::min(least, times);
-            most = std::max(most, times);
+            minTimes = std::min(minTimes, times);
+            maxTimes = std::max(maxTimes, times);
         }
         const std::size_t kept = row.entries * (row.size == 0 ? row.servers : row.size);
         CHECK(covered.size() == std::min<std::size_t>(row.servers, kept));
-        CHECK(most - least <= 1);
+        CHECK(maxTimes - minTimes <= 1);
     }
 }
--- a/Tests/Request/VmRoutingTest.cpp
+++ b/Tests/Request/VmRoutingTest.cpp
@@ -4,9 +4,9 @@
 
 using namespace wisteria;
 
-// A counter clerk waits for a backend server whose VM is being taken away: the platform named the
-// VM as leaving, and the next heartbeat of its agent, which does not know yet, cleared the mark.
-TEST_CASE("A backend server on a leaving VM is not asked, whatever its agent reports")
+// Failure: a caller waits for a backend server whose VM is being removed. The platform listed the
+// VM as leaving, and the next heartbeat of its agent, which was not informed yet, cleared the mark.
+TEST_CASE("A backend server on a leaving VM gets no requests, whatever its agent reports")
 {
     EntryState state;
     Candidate candidate;
@@ -16,7 +16,7 @@
     const TimePoint now{};
     observeVms(state, {"vm1"});
     observeLoad(state, "b1", v1::LoadReport(), 1, now);
-    CHECK_FALSE(mayBeAsked(state.services["lookup"].candidates[0], now));
+    CHECK_FALSE(isEligible(state.services["lookup"].candidates[0], now));
     observeVms(state, {});
-    CHECK(mayBeAsked(state.services["lookup"].candidates[0], now));
+    CHECK(isEligible(state.services["lookup"].candidates[0], now));
 }
