--- a/Source/Request/AgentAdmission.cpp
+++ b/Source/Request/AgentAdmission.cpp
@@ -77,9 +77,9 @@
 
 std::uint64_t deathId(const AdmissionState &state)
 {
-    const std::string incarnation =
+    const std::string death =
         std::to_string(state.incarnation) + '/' + std::to_string(state.deaths);
-    return pairHash(state.ownName, incarnation);
+    return pairHash(state.ownName, death);
 }
 
 } // namespace
