--- a/Source/Process/AgentHeartbeats.cpp
+++ b/Source/Process/AgentHeartbeats.cpp
@@ -11,7 +11,8 @@
 
 constexpr milliseconds minInterval(1000);
 constexpr milliseconds maxInterval(10'000);
-/// One heartbeat and its answer have 134 to 147 bytes, so 20 a second make 3 KB.
+/// Limits heartbeats to 20 a second for up to 200 agents. One heartbeat and its answer have 134 to
+/// 147 bytes, so that makes 3 KB a second.
 constexpr milliseconds intervalPerAgent(50);
 
 } // namespace
--- a/Source/Process/AgentHeartbeats.h
+++ b/Source/Process/AgentHeartbeats.h
@@ -23,7 +23,7 @@
                                         const std::optional<v1::Heartbeat> &reply)>;
 
     /// @param state Routing state of the control loop; outlives this object, as all references do.
-    /// @param describe Makes the heartbeat that is sent.
+    /// @param makeHeartbeat Returns the heartbeat to send.
     AgentHeartbeats(EventLoop &loop, PeerPool &peers, const EntryState &state,
                     std::function<v1::Heartbeat()> makeHeartbeat, Answered answered);
 
@@ -42,8 +42,8 @@
     std::map<std::string, bool> pending_;
 };
 
-/// Time between two heartbeats to the same agent. Grows with the number of agents, so that the
-/// control traffic of an entry stays within its 7 KB a second at any size.
+/// Time between two heartbeats to the same agent. Grows with the number of agents, up to 10 s, to
+/// keep the control traffic of an entry within its 7 KB a second.
 milliseconds heartbeatInterval(std::size_t agents);
 
 } // namespace wisteria
--- a/Source/Process/AgentPeerCalls.cpp
+++ b/Source/Process/AgentPeerCalls.cpp
@@ -106,12 +106,12 @@
 void AgentPeerCalls::requestHandovers()
 {
     for (const HandoverRequest &request : pendingHandovers(admission_)) {
-        if (!pendingHandovers_.insert(request.formerOwner).second)
+        if (!handoversInFlight_.insert(request.formerOwner).second)
             continue;
         callPeer<v1::KeyHandoverReply>(
             peers_.clientFor(request.address), "/v1/handover", request.message,
             [this, owner = request.formerOwner](const std::optional<v1::KeyHandoverReply> &reply) {
-                pendingHandovers_.erase(owner);
+                handoversInFlight_.erase(owner);
                 if (reply)
                     handoverAnswered(admission_, owner, *reply, monotonicNow(), wallNow());
             });
--- a/Source/Process/AgentPeerCalls.h
+++ b/Source/Process/AgentPeerCalls.h
@@ -54,7 +54,7 @@
     const AgentWorkerEvents &events_;
     PeerPool peers_;
     std::shared_ptr<const ConfigState> config_;
-    std::set<std::string> pendingHandovers_;
+    std::set<std::string> handoversInFlight_;
     bool fetching_ = false;
 };
 
--- a/Source/Process/AgentWorker.cpp
+++ b/Source/Process/AgentWorker.cpp
@@ -99,7 +99,7 @@
         if (!runs_.contains(stream))
             return;
         perform(wisteria::streamCancelled(admission_, stream, monotonicNow()));
-        // A keyed run continues without its entry, so that a repeat gets the answer.
+        // A non-idempotent run continues without its stream, so that a repeat gets the answer.
         const auto run = runs_.find(stream);
         if (run != runs_.end() && !run->second.call)
             runs_.erase(run);
@@ -150,7 +150,7 @@
         run.deadline = now + milliseconds(run.head.remaining_ms());
         const v1::RunHead head = run.head;
         runs_[stream] = std::move(run);
-        perform(runArrived(admission_, stream, head, now, wallNow()));
+        perform(attemptArrived(admission_, stream, head, now, wallNow()));
     }
 
     static bool readRun(const std::vector<std::string> &frames, Run &run)
@@ -296,7 +296,7 @@
         }
         endRun(stream,
                end == BackendCallEnd::Complete           ? BackendEnd::Answered
-                   : end == BackendCallEnd::NotConnected ? BackendEnd::Refused
+                   : end == BackendCallEnd::NotConnected ? BackendEnd::NotConnected
                                                          : BackendEnd::TimedOut);
     }
 
--- a/Source/Request/AdmissionChecks.cpp
+++ b/Source/Request/AdmissionChecks.cpp
@@ -5,6 +5,8 @@
 #include "Request/AttemptQueue.h"
 #include "Request/KeyHashing.h"
 
+// Defines answeredAtAdmission(), which AttemptQueue.h declares.
+
 namespace wisteria {
 
 namespace {
@@ -14,19 +16,19 @@
 std::optional<RefuseAttempt> refusedByState(AdmissionState &state, const AgentAttempt &run)
 {
     if (!state.configured)
-        return refuseNotRun(state, run, v1::REASON_STARTING, longAdmissionRetry);
+        return refuseUnsent(state, run, v1::REASON_STARTING, longAdmissionRetry);
     if (run.head.service() != state.service.name())
-        return refuseNotRun(state, run, v1::REASON_WRONG_SERVICE, milliseconds(0));
+        return refuseUnsent(state, run, v1::REASON_WRONG_SERVICE, milliseconds(0));
     if (state.leaving || state.declared.draining())
-        return refuseNotRun(state, run, v1::REASON_LEAVING, longAdmissionRetry);
+        return refuseUnsent(state, run, v1::REASON_LEAVING, longAdmissionRetry);
     // The entry has a newer configuration, which may have moved the key to another owner or removed
     // the service.
     if (run.key && run.head.config_version() > state.configVersion)
-        return refuseNotRun(state, run, v1::REASON_STALE_CONFIG, shortAdmissionRetry);
+        return refuseUnsent(state, run, v1::REASON_STALE_CONFIG, shortAdmissionRetry);
     // A stalled backend server accepts requests and answers none, so that each caller would notice
     // it only at its deadline. The health check detects the stall for all callers.
     if (!state.backendUp || state.backendStalled)
-        return refuseNotRun(state, run, v1::REASON_BACKEND_DOWN, longAdmissionRetry);
+        return refuseUnsent(state, run, v1::REASON_BACKEND_DOWN, longAdmissionRetry);
     return std::nullopt;
 }
 
@@ -36,36 +38,36 @@
     const Suspicion suspicion = suspicionOf(state.suspects, run.head.fingerprint(), now);
     if (suspicion == Suspicion::Quarantined) {
         renewQuarantine(state.suspects, run.head.fingerprint(), now);
-        return refuseNotRun(state, run, v1::REASON_CONVICTED, quarantineTime);
+        return refuseUnsent(state, run, v1::REASON_CONVICTED, quarantineTime);
     }
     if (suspicion == Suspicion::None || run.alone)
         return std::nullopt;
-    // A keyed request may run only on the owner of its key, so a suspect one runs alone here. An
-    // idempotent suspect goes to the server that is designated for its fingerprint.
+    // A non-idempotent request may run only on the owner of its key, so a suspect one runs alone
+    // here. An idempotent suspect goes to the server that is designated for its fingerprint.
     if (run.key) {
         run.alone = true;
         return std::nullopt;
     }
-    return refuseNotRun(state, run, v1::REASON_SUSPECT, milliseconds(0));
+    return refuseUnsent(state, run, v1::REASON_SUSPECT, milliseconds(0));
 }
 
 std::optional<RefuseAttempt> refusedByQueue(AdmissionState &state, const AgentAttempt &run,
                                             TimePoint now)
 {
     if (pastDeadline(state, run, now))
-        return refuseNotRun(state, run, v1::REASON_DEADLINE, milliseconds(0));
+        return refuseUnsent(state, run, v1::REASON_DEADLINE, milliseconds(0));
     const microseconds wait = expectedQueueTime(state, run.head.priority());
     const bool tooLate = wait.count() > 0 && now + wait + state.serviceTime > run.deadline;
     if (tooLate && state.guards.queueDeadline) {
         const auto retry = std::chrono::duration_cast<milliseconds>(wait) + milliseconds(1);
-        return refuseNotRun(state, run, v1::REASON_DEADLINE, retry);
+        return refuseUnsent(state, run, v1::REASON_DEADLINE, retry);
     }
     // A suspect can always queue, even if the bound is 0: it has to wait until nothing else runs.
     const std::size_t bound = std::max<std::size_t>(state.service.queue_bound(), run.alone ? 1 : 0);
     const bool startsNow = state.queue.empty() && mayStartNow(state, run);
     if (!startsNow && state.queue.size() >= bound) {
         const auto oneRun = std::chrono::duration_cast<milliseconds>(state.serviceTime);
-        return refuseNotRun(state, run, v1::REASON_QUEUE_FULL,
+        return refuseUnsent(state, run, v1::REASON_QUEUE_FULL,
                             std::max(oneRun, shortAdmissionRetry));
     }
     return std::nullopt;
--- a/Source/Request/AdmissionConfiguration.cpp
+++ b/Source/Request/AdmissionConfiguration.cpp
@@ -4,6 +4,8 @@
 #include "Request/KeyHashing.h"
 #include "Version/ChangeValidation.h"
 
+// Defines the functions of AgentAdmission.h on configuration, load reports and handover of keys.
+
 namespace wisteria {
 
 namespace {
@@ -23,7 +25,7 @@
 
 /// Whether `version`, the one in force, directly precedes the new configuration. More than one
 /// accepted change after it means that versions in between were never in force here.
-bool everyVersionSeen(const ConfigState &config, std::uint64_t version)
+bool directlyPrecedes(const ConfigState &config, std::uint64_t version)
 {
     // Changes older than the window are not kept.
     if (config.position > version + changeWindow)
@@ -59,7 +61,7 @@
     AdmissionActions actions;
     if (state.ownership.begun && config.version <= state.configVersion)
         return actions;
-    const bool contiguous = state.ownership.begun && everyVersionSeen(config, state.configVersion);
+    const bool contiguous = state.ownership.begun && directlyPrecedes(config, state.configVersion);
     state.ownName = ownName;
     state.ownership.ownName = ownName;
     state.configVersion = config.version;
--- a/Source/Request/AdmissionKeys.h
+++ b/Source/Request/AdmissionKeys.h
@@ -30,8 +30,10 @@
 KeyLookup lookUpKey(KeyMemory &memory, const KeyId &id, const v1::RunHead &head,
                     const RequestGuards &guards);
 
-/// Records that this try of the key was refused, so that it never runs.
-/// @return Whether it is proved that no try so far runs, so that the verdict may be NOT_RUN.
+/// Records that this try of the key was refused, so that it never runs. A try that the caller does
+/// not count can't be recorded, so an earlier one may still run later.
+/// @return Whether it is proved that no try so far runs, so that the verdict may be NOT_RUN; for an
+/// uncounted try only if the repeatsNeedProof guard is off.
 bool refuseTry(KeyMemory &memory, const KeyId &id, const v1::RunHead &head,
                const RequestGuards &guards);
 
--- a/Source/Request/AgentAdmission.cpp
+++ b/Source/Request/AgentAdmission.cpp
@@ -49,7 +49,7 @@
             storeAnswer(state.keys, *run.key,
                         {result.httpStatus, result.contentType, *result.body});
         return;
-    case BackendEnd::Refused:
+    case BackendEnd::NotConnected:
         noteKeyNotRun(state.keys, *run.key);
         return;
     case BackendEnd::Cut:
@@ -68,7 +68,7 @@
     case BackendEnd::TimedOut:
         return v1::REASON_DEADLINE;
     case BackendEnd::Answered:
-    case BackendEnd::Refused:
+    case BackendEnd::NotConnected:
     case BackendEnd::Cut:
         break;
     }
@@ -84,8 +84,8 @@
 
 } // namespace
 
-AdmissionActions runArrived(AdmissionState &state, StreamId stream, const v1::RunHead &head,
-                            TimePoint now, WallTime wall)
+AdmissionActions attemptArrived(AdmissionState &state, StreamId stream, const v1::RunHead &head,
+                                TimePoint now, WallTime wall)
 {
     AdmissionActions actions;
     AgentAttempt run = makeAttempt(stream, head, now);
@@ -112,9 +112,9 @@
         observeServiceTime(state, std::chrono::duration_cast<microseconds>(now - run.startedAt));
         if (run.alone)
             recordGoodRun(state.suspects, run.head.fingerprint());
-    } else if (result.kind == BackendEnd::Refused) {
+    } else if (result.kind == BackendEnd::NotConnected) {
         actions.emplace_back(
-            refuseNotRun(state, run, v1::REASON_BACKEND_DOWN, shortAdmissionRetry));
+            refuseUnsent(state, run, v1::REASON_BACKEND_DOWN, shortAdmissionRetry));
     } else {
         actions.emplace_back(refusal(stream, v1::VERDICT_KIND_OUTCOME_UNKNOWN,
                                      reasonOf(result.kind), milliseconds(0)));
--- a/Source/Request/AgentAdmission.h
+++ b/Source/Request/AgentAdmission.h
@@ -32,7 +32,8 @@
     std::optional<KeyId> key;
     /// Nothing else may run at the backend server meanwhile.
     bool alone = false;
-    /// The entry is gone; the run continues so that a repeat gets its answer.
+    /// The entry cancelled the stream or its connection broke; the run continues so that a repeat
+    /// gets its answer.
     bool abandoned = false;
 };
 
@@ -101,7 +102,7 @@
 /// How a run at the backend server ended.
 enum class BackendEnd {
     Answered, ///< The answer arrived completely.
-    Refused, ///< Refused or unreachable before any byte of the request was sent.
+    NotConnected, ///< Refused or unreachable before any byte of the request was sent.
     Cut, ///< The answer or the request was cut; it may have run.
     Died, ///< The backend server's process died.
     TimedOut, ///< The deadline passed; it may have run.
@@ -119,8 +120,8 @@
 
 /// Admits, queues, refuses or replays an attempt that has arrived completely. The I/O layer holds
 /// its body.
-AdmissionActions runArrived(AdmissionState &state, StreamId stream, const v1::RunHead &head,
-                            TimePoint now, WallTime wall);
+AdmissionActions attemptArrived(AdmissionState &state, StreamId stream, const v1::RunHead &head,
+                                TimePoint now, WallTime wall);
 
 /// Records the end of a run at the backend server and starts queued attempts. If the I/O layer has
 /// not sent the ACCEPTED verdict yet, a RefuseAttempt for the same stream holds the verdict to
--- a/Source/Request/AttemptQueue.cpp
+++ b/Source/Request/AttemptQueue.cpp
@@ -41,7 +41,7 @@
     return {stream, verdict};
 }
 
-RefuseAttempt refuseNotRun(AdmissionState &state, const AgentAttempt &run, v1::Reason reason,
+RefuseAttempt refuseUnsent(AdmissionState &state, const AgentAttempt &run, v1::Reason reason,
                            milliseconds retryAfter)
 {
     if (!run.key)
@@ -85,7 +85,7 @@
         AgentAttempt run = std::move(state.queue.front());
         state.queue.erase(state.queue.begin());
         if (pastDeadline(state, run, now))
-            actions.emplace_back(refuseNotRun(state, run, v1::REASON_DEADLINE, milliseconds(0)));
+            actions.emplace_back(refuseUnsent(state, run, v1::REASON_DEADLINE, milliseconds(0)));
         else
             start(state, std::move(run), now, actions);
     }
@@ -107,7 +107,7 @@
     std::vector<AgentAttempt> kept;
     for (AgentAttempt &run : state.queue) {
         if (selects(run))
-            actions.emplace_back(refuseNotRun(state, run, reason, retryAfter));
+            actions.emplace_back(refuseUnsent(state, run, reason, retryAfter));
         else
             kept.push_back(std::move(run));
     }
--- a/Source/Request/AttemptQueue.h
+++ b/Source/Request/AttemptQueue.h
@@ -15,9 +15,10 @@
 RefuseAttempt refusal(StreamId stream, v1::VerdictKind kind, v1::Reason reason,
                       milliseconds retryAfter);
 
-/// Builds the refusal of an attempt that was never sent to the backend server. For a key the
-/// refusal is recorded, so that the same try does not run if it arrives late or twice.
-RefuseAttempt refuseNotRun(AdmissionState &state, const AgentAttempt &run, v1::Reason reason,
+/// Builds the refusal of an attempt that was never sent to the backend server: NOT_RUN if no try so
+/// far can run, otherwise OUTCOME_UNKNOWN. For a key the refusal is recorded, so that the same try
+/// does not run if it arrives late or twice.
+RefuseAttempt refuseUnsent(AdmissionState &state, const AgentAttempt &run, v1::Reason reason,
                            milliseconds retryAfter);
 
 /// Number of requests that the backend server runs at once.
--- a/Source/Request/BudgetOwner.cpp
+++ b/Source/Request/BudgetOwner.cpp
@@ -86,10 +86,10 @@
     const std::uint32_t limit = declared.concurrency();
     const std::uint32_t others = concurrencyOfOthers(owner, budget, declared, entry);
     const std::uint32_t left = limit > others ? limit - others : 0;
-    // An entry that needs less than its fair share leaves the rest to others.
     const auto fair = static_cast<std::uint32_t>(limit / entryCount(owner));
-    // An entry with little traffic keeps half its fair share for a sudden rise of its callers'
-    // rate. Keeping all of it would hold the busy entries below what the organisation pays for.
+    // An entry gets what it needs, but at least half its fair share for a sudden rise of its
+    // callers' rate. It leaves the rest to others: keeping the whole fair share would hold busy
+    // entries below the organisation's limit.
     const std::uint32_t want = std::max(fair / 2, lease.inFlight + lease.wanted + spareRequests);
     // While another entry is held below its fair share, no entry gets more than the fair share.
     bool starved = false;
--- a/Source/Request/CallerSession.cpp
+++ b/Source/Request/CallerSession.cpp
@@ -166,7 +166,7 @@
     // attempt that was given up, is dropped here, at the first hop that can detect it.
     if (!belongsTo(context_.state, state_, frame))
         return;
-    perform(attemptVerdict(context_.state, context_.shared, state_, frame, monotonicNow()));
+    perform(applyFrame(context_.state, context_.shared, state_, frame, monotonicNow()));
     if (ended_ || !answering_)
         return;
     if (frame.has_chunk())
--- a/Source/Request/EntryRequest.cpp
+++ b/Source/Request/EntryRequest.cpp
@@ -25,10 +25,10 @@
     const Lock lock(shared.mutex);
     if (request.holdsSuspect)
         shared.suspectsInFlight.erase(request.request.fingerprint);
-    if (request.admitted)
+    if (request.countedInLimits)
         release(shared.limits, request.request.organisation);
     request.holdsSuspect = false;
-    request.admitted = false;
+    request.countedInLimits = false;
 }
 
 void endAttempt(EntryState &state, RequestState &request, bool failed, TimePoint now)
@@ -61,8 +61,9 @@
     return EndKind::NotRun;
 }
 
-Refusal refuseNotRun(const EntryState &state, EntryShared &shared, RequestState &request,
-                     v1::Reason reason, milliseconds retryAfter)
+/// Ends the request as NotRun if that is proved for all attempts, otherwise as OutcomeUnknown.
+Refusal refuseRequest(const EntryState &state, EntryShared &shared, RequestState &request,
+                      v1::Reason reason, milliseconds retryAfter)
 {
     return refuse(shared, request, endWithoutRun(state, request), reason, retryAfter);
 }
@@ -132,16 +133,16 @@
     const auto owner =
         rendezvousChoice(canonicalKey(request.request.key), service.declared->ownerNames);
     if (!owner)
-        return refuseNotRun(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
+        return refuseRequest(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
     const Candidate *candidate = candidateNamed(service, *owner);
     // Silence may just mean a long request. Only the owner can run this one, so a silent owner is
-    // used, and only failures exclude it.
+    // used; it is excluded only if it is down, draining or ejected.
     if (candidate && (!isAvailable(*candidate) || now < candidate->ejectedUntil)) {
         const auto reason = candidate->leaving ? v1::REASON_LEAVING : v1::REASON_BACKEND_DOWN;
-        return refuseNotRun(state, shared, request, reason, longRetry);
+        return refuseRequest(state, shared, request, reason, longRetry);
     }
     if (request.runAlone && !maySendSuspectToOwner(state, shared, request))
-        return refuseNotRun(state, shared, request, v1::REASON_SUSPECT, longRetry);
+        return refuseRequest(state, shared, request, v1::REASON_SUSPECT, longRetry);
     return sendTo(state, request, *owner, service.declared->ownerAddresses.at(*owner), now);
 }
 
@@ -167,10 +168,10 @@
 {
     const auto chosen = designatedFor(service, request.request.fingerprint, now);
     if (!chosen)
-        return refuseNotRun(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
+        return refuseRequest(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
     const Candidate *candidate = candidateNamed(service, *chosen);
     if (candidate && !isAvailable(*candidate))
-        return refuseNotRun(state, shared, request, v1::REASON_SUSPECT, longRetry);
+        return refuseRequest(state, shared, request, v1::REASON_SUSPECT, longRetry);
     return sendTo(state, request, *chosen, service.declared->ownerAddresses.at(*chosen), now);
 }
 
@@ -182,12 +183,12 @@
     const auto chosen =
         chooseBackendServer(service.candidates, service.declared->policy, query, now);
     if (!chosen)
-        return refuseNotRun(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
+        return refuseRequest(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
     const Candidate &candidate = service.candidates[*chosen];
     const microseconds wait = expectedWait(candidate);
     if (wait.count() > 0 && now + wait + candidate.serviceTime > request.deadline) {
         const auto retry = std::chrono::duration_cast<milliseconds>(wait) + milliseconds(1);
-        return refuseNotRun(state, shared, request, v1::REASON_DEADLINE, retry);
+        return refuseRequest(state, shared, request, v1::REASON_DEADLINE, retry);
     }
     return sendTo(state, request, candidate.name, candidate.address, now);
 }
@@ -196,12 +197,12 @@
 {
     const auto service = state.services.find(request.request.service);
     if (service == state.services.end())
-        return refuseNotRun(state, shared, request, v1::REASON_WRONG_SERVICE, milliseconds(0));
+        return refuseRequest(state, shared, request, v1::REASON_WRONG_SERVICE, milliseconds(0));
     if (now >= request.deadline)
-        return refuseNotRun(state, shared, request, v1::REASON_DEADLINE, milliseconds(0));
+        return refuseRequest(state, shared, request, v1::REASON_DEADLINE, milliseconds(0));
     const Suspicion suspicion = currentSuspicion(shared, request, now);
     if (suspicion == Suspicion::Quarantined)
-        return refuseNotRun(state, shared, request, v1::REASON_CONVICTED, quarantineTime);
+        return refuseRequest(state, shared, request, v1::REASON_CONVICTED, quarantineTime);
     request.runAlone = suspicion == Suspicion::Suspect;
     if (!request.request.idempotent)
         return sendToOwner(state, shared, request, service->second, now);
@@ -228,7 +229,7 @@
                         v1::Reason reason, milliseconds retryAfter, TimePoint now)
 {
     if (!mayRetry(state, shared, request))
-        return refuseNotRun(state, shared, request, reason, retryAfter);
+        return refuseRequest(state, shared, request, reason, retryAfter);
     EntryAction next = sendNext(state, shared, request, now);
     // The agent's reason is more useful to the caller than that no other server is left.
     if (auto *refusal = std::get_if<Refusal>(&next)) {
@@ -245,7 +246,7 @@
                             v1::Reason reason, TimePoint now)
 {
     request.mayHaveRun = true;
-    // A second run of a non-idempotent request would ship twice or open a second door.
+    // A second run of a non-idempotent request would repeat its effect.
     if (!request.request.idempotent || now >= request.deadline || !mayRetry(state, shared, request))
         return refuse(shared, request, EndKind::OutcomeUnknown, reason, longRetry);
     return sendNext(state, shared, request, now);
@@ -260,17 +261,18 @@
                 pairHash(request.backendServer, attempt), request.runAlone, now);
 }
 
-/// Records the suspicion if the agent gave it as the reason of its refusal: this entry may not have
-/// received it by heartbeat yet.
+/// Records the suspicion if the agent gave it as the reason of its refusal, because this entry may
+/// not have received it by heartbeat yet. It is recorded as a death, identified by the agent and
+/// the request.
 void recordReportedSuspicion(EntryShared &shared, const RequestState &request, v1::Reason reason,
                              TimePoint now)
 {
     if (reason != v1::REASON_SUSPECT && reason != v1::REASON_CONVICTED)
         return;
-    const std::string evidence = "told by " + request.backendServer;
+    const std::string source = "told by " + request.backendServer;
     const Lock lock(shared.mutex);
-    recordDeath(shared.suspects, request.request.fingerprint,
-                pairHash(evidence, request.request.id), reason == v1::REASON_CONVICTED, now);
+    recordDeath(shared.suspects, request.request.fingerprint, pairHash(source, request.request.id),
+                reason == v1::REASON_CONVICTED, now);
 }
 
 EntryAction notRunVerdict(EntryState &state, EntryShared &shared, RequestState &request,
@@ -332,13 +334,13 @@
 {
     const auto found = state.declared->organisations.find(request.request.organisation);
     if (found == state.declared->organisations.end())
-        return refuseNotRun(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
+        return refuseRequest(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
     const v1::Organisation &organisation = found->second;
     const auto &allowed = organisation.services();
     const bool mayUse = allowed.empty()
         || std::find(allowed.begin(), allowed.end(), request.request.service) != allowed.end();
     if (!mayUse)
-        return refuseNotRun(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
+        return refuseRequest(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
     request.priority = std::min(request.request.priority, organisation.max_priority());
     std::optional<LimitRefusal> limit;
     {
@@ -346,8 +348,8 @@
         limit = admit(shared.limits, organisation.name(), now);
     }
     if (limit)
-        return refuseNotRun(state, shared, request, limit->reason, limit->retryAfter);
-    request.admitted = true;
+        return refuseRequest(state, shared, request, limit->reason, limit->retryAfter);
+    request.countedInLimits = true;
     return std::nullopt;
 }
 
@@ -362,7 +364,7 @@
         const bool starting = state.configVersion == 0;
         const auto reason = starting ? v1::REASON_STARTING : v1::REASON_WRONG_SERVICE;
         const auto retry = starting ? longRetry : milliseconds(0);
-        return refuseNotRun(state, shared, request, reason, retry);
+        return refuseRequest(state, shared, request, reason, retry);
     }
     const v1::Service &declared = service->second.declared->service;
     const bool stated = caller.deadline.count() > 0;
@@ -372,9 +374,9 @@
     const bool tooLarge =
         declared.max_body_bytes() > 0 && caller.bodyBytes > declared.max_body_bytes();
     if (badKey || tooLarge)
-        return refuseNotRun(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
+        return refuseRequest(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
     if (currentSuspicion(shared, request, now) == Suspicion::Quarantined)
-        return refuseNotRun(state, shared, request, v1::REASON_CONVICTED, quarantineTime);
+        return refuseRequest(state, shared, request, v1::REASON_CONVICTED, quarantineTime);
     if (auto refused = refusedByOrganisation(state, shared, request, now))
         return *refused;
     return sendNext(state, shared, request, now);
@@ -391,8 +393,8 @@
     return same || !state.guards.dropForeignFrames;
 }
 
-EntryAction attemptVerdict(EntryState &state, EntryShared &shared, RequestState &request,
-                           const v1::AgentFrame &frame, TimePoint now)
+EntryAction applyFrame(EntryState &state, EntryShared &shared, RequestState &request,
+                       const v1::AgentFrame &frame, TimePoint now)
 {
     if (!belongsTo(state, request, frame))
         return Nothing();
@@ -434,7 +436,7 @@
         return Nothing();
     request.mayHaveRun = request.mayHaveRun || request.outstanding;
     endAttempt(state, request, true, now);
-    return refuseNotRun(state, shared, request, v1::REASON_DEADLINE, milliseconds(0));
+    return refuseRequest(state, shared, request, v1::REASON_DEADLINE, milliseconds(0));
 }
 
 void answerEnded(EntryState &state, EntryShared &shared, RequestState &request, bool complete,
--- a/Source/Request/EntryRequest.h
+++ b/Source/Request/EntryRequest.h
@@ -68,8 +68,8 @@
 /// Applies a frame of an agent: its load report, its verdict, or a death reported by its end. Call
 /// it with every frame, chunks included; frames of other requests or attempts return Nothing. After
 /// an `end` frame that follows StartAnswer also call answerEnded().
-EntryAction attemptVerdict(EntryState &state, EntryShared &shared, RequestState &request,
-                           const v1::AgentFrame &frame, TimePoint now);
+EntryAction applyFrame(EntryState &state, EntryShared &shared, RequestState &request,
+                       const v1::AgentFrame &frame, TimePoint now);
 
 /// Whether the answer that the end frame closes arrived completely. Every chunk frame must have
 /// been passed to attemptVerdict().
--- a/Source/Request/EntryState.h
+++ b/Source/Request/EntryState.h
@@ -20,7 +20,8 @@
 
 namespace wisteria {
 
-/// A caller's request as parsed from HTTP.
+/// A caller's request as parsed from HTTP. Each HTTP request is one try of the caller, for which
+/// the entry makes one or more attempts at backend servers.
 struct CallerRequest
 {
     /// Identity of the request, 16 random bytes chosen by the entry.
@@ -77,7 +78,8 @@
 /// Routing state of one traffic thread.
 struct EntryState
 {
-    /// Name of this entry, and names of all entries that serve callers; both from settings.
+    /// Name of this entry, from settings, and names of all entries that serve callers, set by
+    /// setEntries().
     std::string ownName;
     std::vector<std::string> entryNames;
     /// Failure domain of this entry's VM.
@@ -116,7 +118,7 @@
     TimePoint sentAt;
     std::vector<std::string> tried;
     /// Whether the request counts against the organisation's concurrency.
-    bool admitted = false;
+    bool countedInLimits = false;
     bool outstanding = false;
     bool answering = false;
     bool runAlone = false;
--- a/Source/Request/KeyOwnership.cpp
+++ b/Source/Request/KeyOwnership.cpp
@@ -90,10 +90,10 @@
 } // namespace
 
 void setOwnerCandidates(KeyOwnership &ownership, const std::vector<OwnerCandidate> &members,
-                        std::uint64_t version, bool everyVersionSeen)
+                        std::uint64_t version, bool contiguous)
 {
     const std::vector<std::string> newNames = namesOf(members);
-    if (!ownership.begun || !everyVersionSeen) {
+    if (!ownership.begun || !contiguous) {
         // The previous declaration is not known, so any declared member may have been the owner.
         ownership.members = members;
         addFormerOwners(ownership,
--- a/Source/Request/KeyOwnership.h
+++ b/Source/Request/KeyOwnership.h
@@ -78,10 +78,10 @@
 };
 
 /// Puts the declared owners of a version into force.
-/// @param everyVersionSeen Whether the preceding version was in force in this process. If not, an
+/// @param contiguous Whether the preceding version was in force in this process. If not, an
 /// unseen version may have assigned keys to an owner that is no longer declared.
 void setOwnerCandidates(KeyOwnership &ownership, const std::vector<OwnerCandidate> &members,
-                        std::uint64_t version, bool everyVersionSeen);
+                        std::uint64_t version, bool contiguous);
 
 /// Returns whether the key may run here, by the present and the former owners.
 /// @param time Creation time that the key carries.
--- a/Source/Request/PoisonRequests.h
+++ b/Source/Request/PoisonRequests.h
@@ -14,7 +14,8 @@
 constexpr seconds suspicionTime{120};
 /// How long a quarantined fingerprint is refused after it was last sent.
 constexpr seconds quarantineTime{3600};
-/// Time after which every entry has received the report of a death: several heartbeats.
+/// Time for which a backend server that is down stays designated for a suspect, so that entries
+/// receive the report of its death first: two heartbeats at their shortest interval.
 constexpr milliseconds suspectSettleTime{2000};
 /// Fingerprints that one process records; those that expire soonest are evicted first.
 constexpr std::size_t maxSuspects = 4096;
@@ -33,8 +34,9 @@
 /// Values of SuspectReport.deaths.
 enum class ReportedSuspicion : std::uint32_t { Cleared = 0, Suspect = 1, Quarantined = 2 };
 
-/// Deaths recorded for one fingerprint, and which of them a good run cleared. Reports are merged as
-/// set unions, so they may arrive late, twice and in any order.
+/// Deaths recorded for one fingerprint, and which of them a good run cleared. Up to maxDeaths,
+/// reports are merged as set unions, so they may arrive late, twice and in any order. A quarantine
+/// is never cleared and only expires.
 struct SuspectRecord
 {
     std::set<std::uint64_t> deaths;
--- a/Source/Request/Route.h
+++ b/Source/Request/Route.h
@@ -36,7 +36,7 @@
     TimePoint downSince;
     /// Consecutive attempts that timed out or were lost.
     std::uint32_t failures = 0;
-    /// Gets no attempts before this time; afterwards one attempt probes it.
+    /// Not eligible before this time; afterwards one attempt probes it.
     TimePoint ejectedUntil;
     /// Since when no frame has arrived while attempts are outstanding.
     std::optional<TimePoint> silentSince;
@@ -79,9 +79,9 @@
 /// Time that a new request would be queued there.
 microseconds expectedWait(const Candidate &candidate);
 
-/// Chooses the untried backend server with the lowest cost for one attempt: among those that
-/// may be used, or if there is none, among all available ones, since an entry can't distinguish
-/// long requests from a stall.
+/// Chooses the untried backend server with the lowest cost for one attempt: among the eligible
+/// ones, or if there is none, among all available ones. Ejected and silent ones may still answer,
+/// since an entry can't distinguish long requests from a stall.
 /// @return Index into candidates; nothing if no untried one is available.
 std::optional<std::size_t> chooseBackendServer(const std::vector<Candidate> &candidates,
                                                const v1::RoutingPolicy &policy,
--- a/Source/Request/RoutingView.cpp
+++ b/Source/Request/RoutingView.cpp
@@ -4,6 +4,8 @@
 
 #include "Request/EntryRequest.h"
 
+// Also defines the functions of EntryRequest.h that change or read an entry's routing state.
+
 namespace wisteria {
 
 namespace {
--- a/Tests/Request/AtMostOnceTest.cpp
+++ b/Tests/Request/AtMostOnceTest.cpp
@@ -36,7 +36,7 @@
     AdmissionAction arrive(const v1::RunHead &head)
     {
         const AdmissionActions actions =
-            runArrived(admission, ++lastStream, head, world.now, world.wall());
+            attemptArrived(admission, ++lastStream, head, world.now, world.wall());
         REQUIRE(actions.size() == 1);
         return actions.front();
     }
@@ -178,7 +178,7 @@
 // Failure: an order runs twice although its owner sees the same set of servers as before. While the
 // owner is frozen, a server joins, owns the key, runs it and is removed. The owner then reads both
 // changes at once and gets the caller's repeat; the version in between was never in force there.
-TEST_CASE("Keys of a version that was never in force at the owner are not run")
+TEST_CASE("An owner that missed a version does not run keys that may have run elsewhere meanwhile")
 {
     for (const int versions : {1, 2}) {
         SingleOwner owner;
--- a/Tests/Request/LimitsAndEndsTest.cpp
+++ b/Tests/Request/LimitsAndEndsTest.cpp
@@ -30,7 +30,7 @@
         frame.set_attempt(request.attempt);
         frame.mutable_verdict()->set_kind(v1::VERDICT_KIND_NOT_RUN);
         frame.mutable_verdict()->set_reason(reason);
-        return attemptVerdict(state, shared, request, frame, world.now);
+        return applyFrame(state, shared, request, frame, world.now);
     }
 };
 
@@ -140,8 +140,8 @@
     RequestWorld world({.agents = 1, .queueBound = 3});
     AdmissionState &admission = world.agents[0].admission;
     const auto arrive = [&](StreamId stream, std::uint32_t priority, milliseconds remaining) {
-        return runArrived(admission, stream, headWith(priority, remaining), world.now,
-                          world.wall());
+        return attemptArrived(admission, stream, headWith(priority, remaining), world.now,
+                              world.wall());
     };
     const auto end = [&](StreamId stream) {
         world.now += milliseconds(100);
@@ -168,11 +168,12 @@
     RequestWorld world({.agents = 1});
     AdmissionState &admission = world.agents[0].admission;
     admission.backendStalled = true;
-    CHECK(refusedFor(runArrived(admission, 1, headWith(0, seconds(1)), world.now, world.wall()))
+    CHECK(refusedFor(attemptArrived(admission, 1, headWith(0, seconds(1)), world.now, world.wall()))
           == v1::REASON_BACKEND_DOWN);
     CHECK(loadReport(admission).backend_down());
     admission.backendStalled = false;
-    CHECK(started(runArrived(admission, 2, headWith(0, seconds(1)), world.now, world.wall())).stream
+    CHECK(started(attemptArrived(admission, 2, headWith(0, seconds(1)), world.now, world.wall()))
+              .stream
           == 2);
 }
 
@@ -182,10 +183,10 @@
 {
     RequestWorld world({.agents = 1});
     AdmissionState &admission = world.agents[0].admission;
-    runArrived(admission, 1, headWith(0, seconds(1)), world.now, world.wall());
-    runArrived(admission, 2, headWith(0, seconds(1)), world.now, world.wall());
+    attemptArrived(admission, 1, headWith(0, seconds(1)), world.now, world.wall());
+    attemptArrived(admission, 2, headWith(0, seconds(1)), world.now, world.wall());
     CHECK(refusedFor(beginDraining(admission, world.now)) == v1::REASON_LEAVING);
-    CHECK(refusedFor(runArrived(admission, 3, headWith(0, seconds(1)), world.now, world.wall()))
+    CHECK(refusedFor(attemptArrived(admission, 3, headWith(0, seconds(1)), world.now, world.wall()))
           == v1::REASON_LEAVING);
     CHECK_FALSE(idle(admission));
     CHECK(loadReport(admission).leaving());
@@ -214,7 +215,7 @@
         if (agentFrozen)
             world.freeze(world.agents[3].node, seconds(30));
         else
-            world.backends[3].hung = true;
+            world.backends[3].stalled = true;
         world.run(seconds(32));
         std::cout << (agentFrozen ? "frozen agent: " : "hung backend server: ") << unanswered
                   << " of " << sent << " callers without an answer\n";
--- a/Tests/Request/OrganisationLimitsTest.cpp
+++ b/Tests/Request/OrganisationLimitsTest.cpp
@@ -160,9 +160,9 @@
 }
 
 // Failure: an organisation far below its limit is refused when several of its callers send at once.
-// After little traffic the entries hold small grants, at most twice the last demand, and an entry
-// refused everything beyond its grant, although burst and concurrency allowed it.
-TEST_CASE("A sudden rise of the request rate within the burst is not refused")
+// After little traffic the entries hold small grants, about twice the last demand, and an entry
+// that admits nothing beyond its grant refuses requests that burst and concurrency allow.
+TEST_CASE("A sudden rise of the request rate within burst and concurrency is not refused")
 {
     Fleet fleet(2);
     int number = 0;
--- a/Tests/Request/PoisonRequestsTest.cpp
+++ b/Tests/Request/PoisonRequestsTest.cpp
@@ -15,7 +15,7 @@
 constexpr milliseconds otherInterval{5};
 constexpr milliseconds poisonInterval{50};
 
-enum class ResendPattern { OneCaller, BothEntriesAtOnce, NewKeys };
+enum class ResendPattern { AlternatingEntries, BothEntriesAtOnce, NewKeys };
 
 struct Outcome
 {
@@ -96,7 +96,7 @@
 // caused a death can't be distinguished from those that were only in flight.
 TEST_CASE("A poison request through alternating entries crashes at most three backend servers")
 {
-    checkPoisonRequest(ResendPattern::OneCaller, "one caller, alternating entries");
+    checkPoisonRequest(ResendPattern::AlternatingEntries, "one caller, alternating entries");
 }
 
 TEST_CASE("A poison request through both entries at once crashes at most three backend servers")
--- a/Tests/Request/RequestMatrixTest.cpp
+++ b/Tests/Request/RequestMatrixTest.cpp
@@ -45,7 +45,8 @@
     bool applied = false;
 };
 
-/// Runs one request with the faults, and two requests without, until no event is left.
+/// Runs one cell of the matrix: one request with the faults and two without, for 8 s of virtual
+/// time.
 /// @return The violated invariants, and whether every fault applied to a message.
 CellResult runCell(const std::vector<PlacedFault> &faults, const Scenario &scenario,
                    const RequestGuards &guards)
@@ -197,7 +198,7 @@
 }
 
 // The guard of refused tries is needed only with three faults; AtMostOnceTest.cpp switches it off.
-TEST_CASE("Switching off any guard makes a cell violate an invariant")
+TEST_CASE("Without any one of the guards a request with faults violates an invariant")
 {
     struct Mutation
     {
--- a/Tests/Request/RequestWorld.cpp
+++ b/Tests/Request/RequestWorld.cpp
@@ -208,7 +208,7 @@
             action();
     };
     for (std::size_t i = 0; i < options_.faults.size(); ++i) {
-        if (faultUsed_[i] || options_.faults[i].step != step || !calls[call]->marked)
+        if (faultUsed_[i] || options_.faults[i].step != step || !calls[call]->faultsApply)
             continue;
         faultUsed_[i] = true;
         faultsWithoutEffect_ +=
--- a/Tests/Request/RequestWorld.h
+++ b/Tests/Request/RequestWorld.h
@@ -123,7 +123,7 @@
         v1::Reason reason = v1::REASON_UNSPECIFIED;
         std::string body;
         std::function<void(CallResult)> onResult;
-        bool marked = false;
+        bool faultsApply = false;
         /// Another call that gets this one's frames too.
         std::optional<std::size_t> misdeliveredTo;
     };
@@ -135,12 +135,13 @@
     void run(milliseconds time);
 
     /// Sends a try; faults apply only to marked ones.
-    std::size_t submit(int entry, const CallerRequest &request, bool marked = false,
+    std::size_t submit(int entry, const CallerRequest &request, bool faultsApply = false,
                        std::function<void(CallResult)> onResult = {});
     void hangUp(std::size_t call);
     /// Sends a request and repeats it through the other entries until it has an answer or is
     /// refused as not run or already run.
-    void callWithRetries(const CallerRequest &request, int entry, bool marked, int triesLeft = 4);
+    void callWithRetries(const CallerRequest &request, int entry, bool faultsApply,
+                         int triesLeft = 4);
 
     CallerRequest idempotentRequest(const std::string &content);
     CallerRequest keyedRequest(const std::string &content);
@@ -172,7 +173,7 @@
         Node node;
         /// Fingerprints of requests that crash it.
         std::set<std::uint64_t> *poisonFingerprints = nullptr;
-        bool hung = false;
+        bool stalled = false;
         std::set<StreamId> running;
         /// Streams whose request arrived: TCP delivers a duplicate only once.
         std::set<StreamId> received;
--- a/Tests/Request/RequestWorldAgents.cpp
+++ b/Tests/Request/RequestWorldAgents.cpp
@@ -36,7 +36,7 @@
     if (!backends[agent].node.alive) {
         after(hopDelay, [=, this] {
             deliver(agents[agent].node, agentEpoch, [=, this] {
-                endRun(agent, stream, {BackendEnd::Refused, 0, "", std::nullopt});
+                endRun(agent, stream, {BackendEnd::NotConnected, 0, "", std::nullopt});
             });
         });
         return;
@@ -53,7 +53,7 @@
     if (backend.running.count(stream) == 0 || !backend.received.insert(stream).second)
         return;
     const std::string identity = head.idempotent() ? head.request_id() : head.key();
-    if (!backend.hung)
+    if (!backend.stalled)
         runs[identity].push_back(head.caller_attempt());
     if (poisonFingerprints.count(head.fingerprint()) > 0) {
         after(milliseconds(2), [this, agent, epoch = backend.node.epoch] {
@@ -62,7 +62,7 @@
         });
         return;
     }
-    if (backend.hung)
+    if (backend.stalled)
         return;
     after(serviceTime, [=, this] {
         deliver(backends[agent].node, backends[agent].node.epoch, [=, this] {
--- a/Tests/Request/RequestWorldCallers.cpp
+++ b/Tests/Request/RequestWorldCallers.cpp
@@ -72,7 +72,7 @@
     return owner ? agentNamed(*owner) : -1;
 }
 
-std::size_t RequestWorld::submit(int entry, const CallerRequest &request, bool marked,
+std::size_t RequestWorld::submit(int entry, const CallerRequest &request, bool faultsApply,
                                  std::function<void(CallResult)> onResult)
 {
     const std::size_t call = calls.size();
@@ -80,7 +80,7 @@
     calls[call]->entry = entry;
     calls[call]->entryEpoch = entries[entry].node.epoch;
     calls[call]->request = request;
-    calls[call]->marked = marked;
+    calls[call]->faultsApply = faultsApply;
     calls[call]->onResult = std::move(onResult);
     if (!entries[entry].node.alive) {
         after(hopDelay, [this, call] {
@@ -114,7 +114,7 @@
         left.onResult(CallResult::ConnectionLost);
 }
 
-void RequestWorld::callWithRetries(const CallerRequest &request, int entry, bool marked,
+void RequestWorld::callWithRetries(const CallerRequest &request, int entry, bool faultsApply,
                                    int triesLeft)
 {
     const auto repeat = [=, this](CallResult result) {
@@ -126,9 +126,9 @@
         next.id = "request-" + std::to_string(++lastId_);
         ++next.callerAttempt;
         const int other = (entry + 1) % options_.entries;
-        after(repeatAfter, [=, this] { callWithRetries(next, other, marked, triesLeft - 1); });
+        after(repeatAfter, [=, this] { callWithRetries(next, other, faultsApply, triesLeft - 1); });
     };
-    const std::size_t call = submit(entry, request, marked, repeat);
+    const std::size_t call = submit(entry, request, faultsApply, repeat);
     after(callerTimeout, [this, call] { hangUp(call); });
 }
 
@@ -173,7 +173,7 @@
         const StreamId name = copy ? ++lastStream_ : stream;
         if (copy)
             agents[agent].streams[name] = {call, head};
-        act(agent, runArrived(agents[agent].admission, name, head, now, wall()));
+        act(agent, attemptArrived(agents[agent].admission, name, head, now, wall()));
     });
 }
 
@@ -222,8 +222,7 @@
     Call &receiver = *calls[call];
     Entry &entry = entries[receiver.entry];
     const bool mine = belongsTo(entry.state, receiver.state, frame);
-    const EntryAction action =
-        attemptVerdict(entry.state, *entry.shared, receiver.state, frame, now);
+    const EntryAction action = applyFrame(entry.state, *entry.shared, receiver.state, frame, now);
     if (mine)
         receiver.body += frame.chunk();
     act(call, action);
