--- a/Source/Process/AgentWorker.cpp
+++ b/Source/Process/AgentWorker.cpp
@@ -292,7 +292,7 @@
             // The backend server may have died. Its health check decides, since only a death makes
             // suspects of the requests that ran.
             found->second.cut = true;
-            return health_.noteCut();
+            return health_.noteConnectionLost();
         }
         endRun(stream,
                end == BackendCallEnd::Complete           ? BackendEnd::Answered
--- a/Source/Process/BackendHealth.cpp
+++ b/Source/Process/BackendHealth.cpp
@@ -23,7 +23,7 @@
     return BackendCondition::Dead;
 }
 
-/// Hears how a check ended.
+/// Receives the end of a check.
 class CheckHandler : public BackendCallHandler
 {
 public:
@@ -38,24 +38,24 @@
 
 } // namespace
 
-bool checkAfterCut(HealthChecks &checks)
+bool shouldCheckAfterLoss(HealthCheckState &state)
 {
-    checks.cutSince = checks.underWay;
-    return !checks.underWay;
+    state.connectionLost = state.inProgress;
+    return !state.inProgress;
 }
 
-std::optional<BackendCondition> checkEnded(HealthChecks &checks, BackendCallEnd end)
+std::optional<BackendCondition> finishCheck(HealthCheckState &state, BackendCallEnd end)
 {
-    checks.underWay = false;
+    state.inProgress = false;
     const BackendCondition condition = conditionOf(end);
-    if (std::exchange(checks.cutSince, false) && condition == BackendCondition::Up)
+    if (std::exchange(state.connectionLost, false) && condition == BackendCondition::Up)
         return std::nullopt;
     return condition;
 }
 
 BackendHealth::BackendHealth(EventLoop &loop, BackendClient &backend,
-                             std::function<void(BackendCondition)> seen)
-    : loop_(loop), backend_(backend), seen_(std::move(seen))
+                             std::function<void(BackendCondition)> onCondition)
+    : loop_(loop), backend_(backend), onCondition_(std::move(onCondition))
 { }
 
 void BackendHealth::start()
@@ -64,19 +64,19 @@
     loop_.runAfter(checkInterval, [this] { start(); });
 }
 
-void BackendHealth::noteCut()
+void BackendHealth::noteConnectionLost()
 {
-    if (checkAfterCut(checks_))
+    if (shouldCheckAfterLoss(checkState_))
         check();
 }
 
 void BackendHealth::check()
 {
-    if (std::exchange(checks_.underWay, true))
+    if (std::exchange(checkState_.inProgress, true))
         return;
     backend_.checkHealth(checkTimeout, std::make_shared<CheckHandler>([this](BackendCallEnd end) {
-                             if (const auto condition = checkEnded(checks_, end))
-                                 seen_(*condition);
+                             if (const auto condition = finishCheck(checkState_, end))
+                                 onCondition_(*condition);
                              else
                                  check();
                          }));
--- a/Source/Process/BackendHealth.h
+++ b/Source/Process/BackendHealth.h
@@ -8,51 +8,51 @@
 
 namespace wisteria {
 
-/// What a health check says of the backend server.
+/// Condition of the backend server according to a health check.
 enum class BackendCondition {
-    Up, ///< It answered.
-    Stalled, ///< It took the question and gave no answer in time; what runs may still end well.
-    Dead, ///< Nobody listens, or the connection broke.
+    Up, ///< It answered the check.
+    Stalled, ///< It accepted the check but didn't answer in time; its runs may still succeed.
+    Dead, ///< The connection was refused or lost.
 };
 
-/// Which checks are under way, and what they may be believed.
-struct HealthChecks
+/// State of the health check, and whether its result may be out of date.
+struct HealthCheckState
 {
-    bool underWay = false;
-    /// A run's connection broke while the check was under way.
-    bool cutSince = false;
+    bool inProgress = false;
+    /// The connection of a run was lost while the check was in progress.
+    bool connectionLost = false;
 };
 
-/// A run's connection broke; its cause has to be found out.
+/// Records that the connection of a run was lost; a check has to find the cause.
 /// @return Whether to start a check now.
-bool checkAfterCut(HealthChecks &checks);
+bool shouldCheckAfterLoss(HealthCheckState &state);
 
-/// A check ended.
-/// @return What it says, or nothing when another one has to be started: a check that was begun
-/// before a connection broke may have been answered before the death that broke it.
-std::optional<BackendCondition> checkEnded(HealthChecks &checks, BackendCallEnd end);
+/// Records the end of a check.
+/// @return The condition, or nothing if another check has to be started: if a check began before a
+/// connection was lost, the backend server may have answered it before it died.
+std::optional<BackendCondition> finishCheck(HealthCheckState &state, BackendCallEnd end);
 
-/// Watches whether the backend server lives, on its agent's traffic loop.
+/// Checks the health of the backend server periodically, on the agent's traffic loop.
 class BackendHealth
 {
 public:
-    /// @param seen Called with the end of each check that may be believed.
+    /// @param onCondition Called with the result of each check that is not out of date.
     BackendHealth(EventLoop &loop, BackendClient &backend,
-                  std::function<void(BackendCondition)> seen);
+                  std::function<void(BackendCondition)> onCondition);
 
-    /// Begins to check; goes on until the loop stops.
+    /// Starts periodic checks; they continue until the loop stops.
     void start();
 
-    /// Checks now, since a run's connection broke.
-    void noteCut();
+    /// Starts a check now, because the connection of a run was lost.
+    void noteConnectionLost();
 
 private:
     void check();
 
     EventLoop &loop_;
     BackendClient &backend_;
-    std::function<void(BackendCondition)> seen_;
-    HealthChecks checks_;
+    std::function<void(BackendCondition)> onCondition_;
+    HealthCheckState checkState_;
 };
 
 } // namespace wisteria
--- a/Source/Process/Endpoint.h
+++ b/Source/Process/Endpoint.h
@@ -9,7 +9,7 @@
 
 namespace wisteria {
 
-/// An IPv4 address and a port, both in the host's byte order.
+/// An IPv4 address and a port, both in host byte order.
 struct Endpoint
 {
     std::uint32_t ip = 0;
@@ -18,14 +18,14 @@
     auto operator<=>(const Endpoint &) const = default;
 };
 
-/// Reads "10.1.0.40:8227".
-/// @return BadInput that quotes the text when it is no such address.
+/// Parses an address such as "10.1.0.40:8227".
+/// @return BadInput that quotes the text if it is not an IPv4 address with a port from 1 to 65535.
 Result<Endpoint> endpointFromText(std::string_view text);
 
-/// Reads an address to listen on, where port 0 takes a free one.
+/// Parses an address to listen on, where port 0 lets the kernel choose one. Errors as above.
 Result<Endpoint> listenAddressFromText(std::string_view text);
 
-/// The endpoint as "10.1.0.40:8227".
+/// Formats the endpoint as "10.1.0.40:8227".
 std::string toText(const Endpoint &endpoint);
 
 } // namespace wisteria
--- a/Source/Process/Error.h
+++ b/Source/Process/Error.h
@@ -9,30 +9,30 @@
 
 namespace wisteria {
 
-/// Kinds of errors that callers of a function tell apart.
+/// Error categories that callers handle differently.
 enum class ErrorKind {
-    BadSettings, ///< A settings or configuration text is malformed or inconsistent.
-    BadInput, ///< A caller's or peer's message is malformed.
-    NotFound, ///< The named thing does not exist.
-    Conflict, ///< The request was made against a state that has moved on.
-    Unavailable, ///< The other side can't be reached or refuses; nothing was done.
-    OutcomeUnknown, ///< The other side may or may not have done what was asked.
-    Timeout, ///< No answer came in time; for reads only, where nothing can have been done.
-    Internal, ///< A fault of the program itself.
+    BadSettings, ///< The settings or the configuration are malformed or inconsistent.
+    BadInput, ///< A message from a caller or a peer is malformed.
+    NotFound, ///< The named object does not exist.
+    Conflict, ///< The request is based on a state that is out of date.
+    Unavailable, ///< The peer is unreachable or refuses; the request was not executed.
+    OutcomeUnknown, ///< The peer may or may not have executed the request.
+    Timeout, ///< No answer in time; used for reads only, which have no side effects.
+    Internal, ///< A bug in this program.
 };
 
-/// An error: its kind, and a message that says what was found and names the remedy.
+/// An error: its category, and a message that states the problem and how to correct it.
 struct Error
 {
     ErrorKind kind;
     std::string message;
 };
 
-/// The value of a call that can fail, or its Error. Reading the wrong side terminates the process.
+/// A value or an Error. Accessing the alternative that is not present terminates the process.
 template <typename T>
 using Result = boost::outcome_v2::basic_result<T, Error, boost::outcome_v2::policy::terminate>;
 
-/// Makes the failed side of a Result.
+/// Creates the error alternative of a Result.
 inline auto failure(ErrorKind kind, std::string message)
 {
     return boost::outcome_v2::failure(Error{kind, std::move(message)});
--- a/Source/Process/EventLog.cpp
+++ b/Source/Process/EventLog.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// For how long an ending process waits for the reader of its last lines.
-constexpr milliseconds lastLinesTime{300};
-/// Pause between two lines about dropped lines.
-constexpr seconds tellDroppedPeriod{1};
+/// Time limit for writing queued lines when the process ends.
+constexpr milliseconds shutdownFlushTimeout{300};
+/// Minimum time between two "log.dropped" lines.
+constexpr seconds droppedReportInterval{1};
 
 const char *levelName(LogLevel level)
 {
@@ -47,16 +47,16 @@
 {
 public:
     Private(std::string process, const LogSettings &settings)
-        : process_(std::move(process)), least_(settings.least),
+        : process_(std::move(process)), minLevel_(settings.minLevel),
           sink_(std::make_shared<OutputSink>(STDOUT_FILENO)),
-          successes_(sink_, settings.queuedLines), failures_(sink_, settings.queuedLines)
+          successes_(sink_, settings.queueCapacity), failures_(sink_, settings.queueCapacity)
     {
         sink_->set_pattern("%v");
     }
 
-    ~Private() { sink_->giveUpAt(monotonicNow() + lastLinesTime); }
+    ~Private() { sink_->setDeadline(monotonicNow() + shutdownFlushTimeout); }
 
-    /// One bounded queue and the thread that empties it.
+    /// A bounded queue and the thread that writes its lines.
     struct Queue
     {
         Queue(const std::shared_ptr<OutputSink> &sink, std::size_t lines)
@@ -69,7 +69,7 @@
         std::shared_ptr<spdlog::async_logger> logger_;
     };
 
-    std::uint64_t dropped() const
+    std::uint64_t droppedLines() const
     {
         return successes_.pool_->overrun_counter() + failures_.pool_->overrun_counter();
     }
@@ -81,35 +81,35 @@
                           {"process", process_},
                           {"event", event}};
         line.update(fields);
-        // Bytes of other parties may stand in the fields; what is not UTF-8 is replaced, not
-        // thrown.
+        // Fields may contain bytes from the network. Invalid UTF-8 is replaced, since dump() would
+        // throw by default.
         const std::string text =
             line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
         const bool failure = level == LogLevel::Warning || level == LogLevel::Error;
         (failure ? failures_ : successes_).logger_->info("{}", text);
     }
 
-    /// Says how many lines were dropped since it was last said.
-    void tellDropped(WallTime now)
+    /// Logs how many lines were dropped since the last report.
+    void reportDropped(WallTime now)
     {
-        if (now - toldAt_ < tellDroppedPeriod && now >= toldAt_)
+        if (now - reportedAt_ < droppedReportInterval && now >= reportedAt_)
             return;
-        toldAt_ = now;
-        const std::uint64_t all = dropped();
-        if (all == told_)
+        reportedAt_ = now;
+        const std::uint64_t total = droppedLines();
+        if (total == reportedDrops_)
             return;
-        writeLine(LogLevel::Warning, "log.dropped", {{"lines", all - told_}, {"since_start", all}},
-                  now);
-        told_ = all;
+        writeLine(LogLevel::Warning, "log.dropped",
+                  {{"lines", total - reportedDrops_}, {"since_start", total}}, now);
+        reportedDrops_ = total;
     }
 
     std::string process_;
-    LogLevel least_;
+    LogLevel minLevel_;
     std::shared_ptr<OutputSink> sink_;
     Queue successes_;
     Queue failures_;
-    WallTime toldAt_{};
-    std::uint64_t told_ = 0;
+    WallTime reportedAt_{};
+    std::uint64_t reportedDrops_ = 0;
 };
 
 EventLog::EventLog(std::string process, const LogSettings &settings)
@@ -118,23 +118,23 @@
 
 EventLog::~EventLog() = default;
 
-bool EventLog::writes(LogLevel level) const
+bool EventLog::shouldLog(LogLevel level) const
 {
-    return level >= private_->least_;
+    return level >= private_->minLevel_;
 }
 
 void EventLog::write(LogLevel level, const char *event, const LogFields &fields)
 {
-    if (!writes(level))
+    if (!shouldLog(level))
         return;
     const WallTime now = wallNow();
-    private_->tellDropped(now);
+    private_->reportDropped(now);
     private_->writeLine(level, event, fields, now);
 }
 
-std::uint64_t EventLog::dropped() const
+std::uint64_t EventLog::droppedLines() const
 {
-    return private_->dropped();
+    return private_->droppedLines();
 }
 
 } // namespace wisteria
--- a/Source/Process/EventLog.h
+++ b/Source/Process/EventLog.h
@@ -10,44 +10,44 @@
 
 namespace wisteria {
 
-/// The inputs and the outcome of one decision, in the order in which they are written.
+/// Fields of one log line in the order of output: the inputs and the outcome of a decision.
 using LogFields = nlohmann::ordered_json;
 
-/// How much a process writes.
+/// Severity of a log line, in ascending order.
 enum class LogLevel { Debug, Info, Warning, Error };
 
-/// The level of that name; Info for any other.
+/// Returns the level with this name, or Info for an unknown name.
 LogLevel logLevelFromName(const std::string &name);
 
-/// Bounds of what a process writes.
+/// Level filter and queue capacity of an EventLog.
 struct LogSettings
 {
-    /// Lines below this level are left out.
-    LogLevel least = LogLevel::Info;
-    /// Lines that may wait for a slow reader, in each of the two queues: some seconds of a busy
+    /// Lines below this level are not written.
+    LogLevel minLevel = LogLevel::Info;
+    /// Lines that each of the two queues holds for a slow reader: some seconds of output of a busy
     /// process, about 1 MB.
-    std::size_t queuedLines = 4096;
+    std::size_t queueCapacity = 4096;
 };
 
-/// Structured log lines of one process: one JSON object a line on standard output.
+/// Structured log of one process: one JSON object per line on standard output.
 ///
-/// Background threads write them from bounded queues, so that a reader that does not read never
-/// holds up a request. When a queue is full its oldest lines go; dropped() counts them, and a line
-/// "log.dropped" says so once lines are read again. Warnings and errors have a queue of their own:
-/// a flood of successes can't push out the lines about failures.
+/// Background threads write the lines from bounded queues, so a reader that stops reading never
+/// blocks a request. A full queue drops its oldest lines; droppedLines() counts them, and the event
+/// "log.dropped" reports them with a later line. Warnings and errors have a separate queue, so
+/// that many lines about successes can't displace lines about failures.
 class EventLog
 {
 public:
-    /// @param process Name of the process, written on each line.
+    /// @param process Name of the process; each line has it as a field.
     EventLog(std::string process, const LogSettings &settings);
     ~EventLog();
     EventLog(const EventLog &) = delete;
     EventLog &operator=(const EventLog &) = delete;
 
-    /// Whether lines of this level are written; callers check it before they build costly fields.
-    bool writes(LogLevel level) const;
+    /// Whether lines of this level are written. Check it before building fields that are costly.
+    bool shouldLog(LogLevel level) const;
 
-    /// Writes one line.
+    /// Queues one line if its level is enabled.
     /// @param event Short name of the decision, such as "request.end".
     void write(LogLevel level, const char *event, const LogFields &fields);
 
@@ -61,8 +61,8 @@
         write(LogLevel::Warning, event, fields);
     }
 
-    /// Lines that were dropped because nobody read them in time.
-    std::uint64_t dropped() const;
+    /// Number of lines that were dropped from full queues since the process started.
+    std::uint64_t droppedLines() const;
 
 private:
     class Private;
--- a/Source/Process/EventLoop.cpp
+++ b/Source/Process/EventLoop.cpp
@@ -20,23 +20,23 @@
 
 namespace {
 
-/// ACE's usual timer heap follows the wall clock, whose jumps would fire or hold back every timer.
+/// ACE's default timer heap uses the wall clock, whose jumps would fire or delay all timers.
 using MonotonicTimers =
     ACE_Timer_Heap_T<ACE_Event_Handler *, ACE_Event_Handler_Handle_Timeout_Upcall,
                      ACE_SYNCH_RECURSIVE_MUTEX, ACE_Monotonic_Time_Policy>;
 
-/// The reactor waits in whole milliseconds and cuts the rest off: with less than one left until a
-/// timer it would not wait at all but ask again and again, which shows as a few percent of a core
-/// in an idle process. Rounding up makes it sleep, at the price of timers up to a millisecond late.
+/// The reactor truncates its wait to whole milliseconds. With less than 1 ms left until a timer it
+/// would poll in a busy loop, which costs a few percent of a core in an idle process. Rounding the
+/// wait up avoids that; timers run up to 1 ms late.
 class MonotonicTimerHeap : public MonotonicTimers
 {
 public:
     using MonotonicTimers::calculate_timeout;
 
-    ACE_Time_Value *calculate_timeout(ACE_Time_Value *longest, ACE_Time_Value *buffer) override
+    ACE_Time_Value *calculate_timeout(ACE_Time_Value *maxWait, ACE_Time_Value *buffer) override
     {
         constexpr suseconds_t microsecondsPerMillisecond = 1000;
-        ACE_Time_Value *wait = MonotonicTimers::calculate_timeout(longest, buffer);
+        ACE_Time_Value *wait = MonotonicTimers::calculate_timeout(maxWait, buffer);
         if (wait == buffer && wait->usec() % microsecondsPerMillisecond != 0)
             *wait += ACE_Time_Value(
                 0, microsecondsPerMillisecond - wait->usec() % microsecondsPerMillisecond);
@@ -44,17 +44,17 @@
     }
 };
 
-/// Descriptors that a loop watches at most, where the process may open that many.
-constexpr rlim_t mostDescriptors = 4096;
+/// Maximum number of descriptors of a loop if the process's limit allows it.
+constexpr rlim_t maxDescriptors = 4096;
 
-/// The reactor can't be opened for more descriptors than the process may have, and a reactor that
-/// is not open ends the process at its first use.
-std::size_t watchableDescriptors()
+/// Returns how many descriptors the reactor is opened for. Opening it for more than the process's
+/// limit fails, and using a reactor that is not open crashes the process.
+std::size_t reactorSize()
 {
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0)
-        return mostDescriptors;
-    return std::min(limit.rlim_cur, mostDescriptors);
+        return maxDescriptors;
+    return std::min(limit.rlim_cur, maxDescriptors);
 }
 
 ACE_Reactor_Mask maskFor(Interest interest)
@@ -100,17 +100,17 @@
 
 struct PendingTimer
 {
-    /// ACE's own name of the timer.
-    long slot = -1;
+    /// Timer id of the ACE reactor.
+    long aceTimerId = -1;
     EventLoop::Task task;
 };
 
 class EventLoop::Private : public ACE_Event_Handler
 {
 public:
-    explicit Private(std::size_t postBound)
-        : timers_(), poll_(watchableDescriptors(), true, nullptr, &timers_), reactor_(&poll_),
-          postBound_(postBound)
+    explicit Private(std::size_t maxPostedTasks)
+        : timers_(), poll_(reactorSize(), true, nullptr, &timers_), reactor_(&poll_),
+          maxPostedTasks_(maxPostedTasks)
     { }
 
     int handle_timeout(const ACE_Time_Value &, const void *argument) override
@@ -141,7 +141,7 @@
         bool wake = false;
         {
             const std::lock_guard<std::mutex> lock(mutex_);
-            if (posted_.size() >= postBound_)
+            if (posted_.size() >= maxPostedTasks_)
                 return false;
             wake = posted_.empty();
             posted_.push_back(std::move(task));
@@ -155,25 +155,25 @@
     {
         const TimerId id = ++lastTimer_;
         const auto *argument = reinterpret_cast<const void *>(id);
-        const long slot = reactor_.schedule_timer(this, argument, ACE_Time_Value(delay));
-        pending_[id] = {slot, std::move(task)};
+        const long aceTimerId = reactor_.schedule_timer(this, argument, ACE_Time_Value(delay));
+        pending_[id] = {aceTimerId, std::move(task)};
         return id;
     }
 
-    /// ACE uses the slots of its timers again, so a stale slot could cancel a stranger's timer;
-    /// names that are used once can't.
+    /// ACE reuses its timer ids, so a stale one could cancel an unrelated timer. A TimerId is never
+    /// reused.
     void cancel(TimerId timer)
     {
         const auto found = pending_.find(timer);
         if (found == pending_.end())
             return;
-        reactor_.cancel_timer(found->second.slot);
+        reactor_.cancel_timer(found->second.aceTimerId);
         pending_.erase(found);
     }
 
     void runDeferred()
     {
-        // Tasks that the deferred ones defer in turn run in the same round.
+        // Tasks that a deferred task defers run in the same iteration.
         while (!deferred_.empty()) {
             std::vector<Task> tasks;
             tasks.swap(deferred_);
@@ -199,7 +199,7 @@
             return;
         reactor_.remove_handler(descriptor,
                                 ACE_Event_Handler::ALL_EVENTS_MASK | ACE_Event_Handler::DONT_CALL);
-        // The watcher may be the one that is running: it goes at the end of the round.
+        // The watcher's callback may be running, so it is deleted at the end of the iteration.
         retired_.push_back(std::move(found->second));
         watchers_.erase(found);
     }
@@ -208,7 +208,7 @@
     ACE_Dev_Poll_Reactor poll_;
     ACE_Reactor reactor_;
     std::atomic<bool> stopping_ = false;
-    std::size_t postBound_;
+    std::size_t maxPostedTasks_;
     std::mutex mutex_;
     std::deque<Task> posted_;
     std::vector<Task> deferred_;
@@ -218,7 +218,9 @@
     std::vector<std::unique_ptr<Watcher>> retired_;
 };
 
-EventLoop::EventLoop(std::size_t postBound) : private_(std::make_unique<Private>(postBound)) { }
+EventLoop::EventLoop(std::size_t maxPostedTasks)
+    : private_(std::make_unique<Private>(maxPostedTasks))
+{ }
 
 EventLoop::~EventLoop() = default;
 
--- a/Source/Process/EventLoop.h
+++ b/Source/Process/EventLoop.h
@@ -9,7 +9,7 @@
 
 namespace wisteria {
 
-/// What a watcher waits for on a descriptor.
+/// Readiness events of a descriptor.
 struct Interest
 {
     bool read = false;
@@ -18,19 +18,19 @@
     bool operator==(const Interest &) const = default;
 };
 
-/// One thread's loop over sockets, timers and posted tasks, on an ACE reactor.
+/// Single-threaded event loop for descriptors, timers and posted tasks, based on an ACE reactor.
 ///
-/// Everything but post() and stop() belongs to the thread that calls run(). Before run() starts,
-/// the thread that builds the loop may set it up.
+/// Only post() and stop() are thread-safe. All other functions must be called on the thread that
+/// calls run(), or on the thread that creates the loop before run() starts.
 class EventLoop
 {
 public:
     using Task = std::function<void()>;
-    /// Name of one timer; never used twice. 0 names none.
+    /// Identifies a timer; ids are not reused. 0 is not a valid id.
     using TimerId = std::uint64_t;
 
-    /// @param postBound Tasks that may wait for the loop before post() refuses more.
-    explicit EventLoop(std::size_t postBound = 65536);
+    /// @param maxPostedTasks Number of queued tasks from which post() refuses further ones.
+    explicit EventLoop(std::size_t maxPostedTasks = 65536);
     ~EventLoop();
     EventLoop(const EventLoop &) = delete;
     EventLoop &operator=(const EventLoop &) = delete;
@@ -38,27 +38,27 @@
     /// Runs until stop() is called.
     void run();
 
-    /// Makes run() return after the present round. Any thread may call it.
+    /// Makes run() return after the current iteration. Thread-safe.
     void stop();
 
-    /// Hands a task to the loop. Any thread may call it.
-    /// @return False when the bounded queue is full; the task is then dropped.
+    /// Queues a task to run on the loop's thread. Thread-safe.
+    /// @return False if the queue is full; the task is then dropped.
     bool post(Task task);
 
-    /// Runs a task at the end of the present round, after every ready descriptor was served.
+    /// Runs a task at the end of the current iteration, after the callbacks of ready descriptors.
     void defer(Task task);
 
     /// Runs a task once after a delay.
     TimerId runAfter(milliseconds delay, Task task);
 
-    /// Forgets a timer; one that ran already is ignored.
+    /// Cancels a timer. Does nothing if it has run already.
     void cancel(TimerId timer);
 
-    /// Calls back whenever the descriptor is ready for what is of interest. A second call for the
-    /// same descriptor replaces the first.
+    /// Calls `ready` whenever the descriptor is ready for one of these events. Replaces an earlier
+    /// watch on the same descriptor.
     void watch(int descriptor, Interest interest, std::function<void(Interest)> ready);
 
-    /// Stops watching. Must be called before the descriptor is closed.
+    /// Stops watching the descriptor. Must be called before the descriptor is closed.
     void unwatch(int descriptor);
 
 private:
--- a/Source/Process/Logging.h
+++ b/Source/Process/Logging.h
@@ -9,14 +9,15 @@
 
 namespace wisteria {
 
-/// How log lines are written.
+/// Output format of log lines.
 enum class LogFormat { Text, Json };
 
-/// Sets the level ("trace" to "error") and format of every logger of the process.
+/// Sets the level ("trace" to "error", or "off") and the format of all loggers of the process.
 /// @return BadSettings for an unknown level.
 Result<void> setUpLogging(const std::string &level, LogFormat format);
 
-/// The logger of one part of the program; its lines begin with the part's name and a colon.
+/// Returns the logger with this name, and creates it if needed. It writes to standard error; text
+/// lines have the name and a colon before the message.
 std::shared_ptr<spdlog::logger> loggerFor(const std::string &part);
 
 } // namespace wisteria
--- a/Source/Process/Metrics.cpp
+++ b/Source/Process/Metrics.cpp
@@ -14,18 +14,18 @@
 
 const prometheus::Histogram::BucketBoundaries latencyBuckets = {
     0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30};
-/// Series of one process at most; some 300 bytes each. Labels come from configurations, and one
-/// with thousands of services must not use up the memory of a small VM.
-constexpr std::size_t seriesAtMost = 2000;
+/// Maximum number of series of a process, at about 300 bytes each. Label values come from the
+/// configuration; thousands of services must not exhaust the memory of a small VM.
+constexpr std::size_t maxSeries = 2000;
 
 } // namespace
 
 class Metrics::Private
 {
 public:
-    /// The series of a name and labels; looked up here rather than in the library, whose own
-    /// look-up builds a hash of all labels each time.
-    /// @return Null for a series beyond the bound.
+    /// Returns the series with this name and these labels, and creates it if needed. The cache
+    /// avoids the library's lookup, which hashes all labels each time.
+    /// @return Null if the series would exceed the limit.
     template <typename T, typename Make>
     T *series(std::map<std::string, T *> &cache, const std::string &name,
               const MetricLabels &labels, Make make)
@@ -37,7 +37,7 @@
         const auto found = cache.find(key);
         if (found != cache.end())
             return found->second;
-        if (counters_.size() + gauges_.size() + histograms_.size() >= seriesAtMost) {
+        if (counters_.size() + gauges_.size() + histograms_.size() >= maxSeries) {
             dropped_.Increment();
             return nullptr;
         }
@@ -66,7 +66,7 @@
 }
 
 void Metrics::count(const std::string &name, const std::string &help, const MetricLabels &labels,
-                    double by)
+                    double increment)
 {
     auto make = [&]() -> prometheus::Counter & {
         return prometheus::BuildCounter()
@@ -76,7 +76,7 @@
             .Add(labels);
     };
     if (auto *counter = private_->series(private_->counters_, name, labels, make))
-        counter->Increment(by);
+        counter->Increment(increment);
 }
 
 void Metrics::set(const std::string &name, const std::string &help, double value,
--- a/Source/Process/Metrics.h
+++ b/Source/Process/Metrics.h
@@ -9,28 +9,28 @@
 /// Labels of one time series.
 using MetricLabels = std::map<std::string, std::string>;
 
-/// The metrics of one process. Any thread may use it.
+/// The metrics of one process. Thread-safe.
 ///
-/// The number of series is bounded: updates of series beyond the bound are counted in
-/// "wisteria_metric_updates_dropped_total" and otherwise ignored.
+/// The number of series is limited. Updates of series beyond the limit are dropped, and counted in
+/// "wisteria_metric_updates_dropped_total".
 class Metrics
 {
 public:
     Metrics();
     ~Metrics();
 
-    /// All metrics in Prometheus' text format.
+    /// Returns all metrics in the Prometheus text format.
     std::string text() const;
 
-    /// Adds to a counter; its name ends in "_total".
+    /// Increments a counter. The name must end in "_total".
     void count(const std::string &name, const std::string &help, const MetricLabels &labels = {},
-               double by = 1);
+               double increment = 1);
 
-    /// Sets a gauge.
+    /// Sets the value of a gauge.
     void set(const std::string &name, const std::string &help, double value,
              const MetricLabels &labels = {});
 
-    /// Adds one duration to a histogram; its name ends in "_seconds".
+    /// Adds a duration in seconds to a histogram. The name must end in "_seconds".
     void observeSeconds(const std::string &name, const std::string &help, double value,
                         const MetricLabels &labels = {});
 
--- a/Source/Process/OutputSink.cpp
+++ b/Source/Process/OutputSink.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-/// Longest wait before the sink looks whether the process is ending.
-constexpr int waitMilliseconds = 50;
-/// Bytes of one write. Where poll() finds a pipe writable there is room for a page, so a write of
-/// that size does not wait.
-constexpr std::size_t bytesAtOnce = 4096;
+/// Timeout of one poll(); the sink then checks the deadline again.
+constexpr int pollMilliseconds = 50;
+/// Maximum size of one write. A pipe that poll() reports as writable has space for a page, so a
+/// write of this size does not block.
+constexpr std::size_t maxWriteSize = 4096;
 
 } // namespace
 
-void OutputSink::giveUpAt(TimePoint moment)
+void OutputSink::setDeadline(TimePoint deadline)
 {
-    giveUpAt_ = moment;
+    deadline_ = deadline;
 }
 
 void OutputSink::sink_it_(const spdlog::details::log_msg &message)
@@ -33,24 +33,24 @@
 void OutputSink::writeAll(std::string_view bytes)
 {
     while (!bytes.empty()) {
-        if (!waitForRoom())
+        if (!waitUntilWritable())
             return;
         const ssize_t written =
-            ::write(descriptor_, bytes.data(), std::min(bytes.size(), bytesAtOnce));
-        const bool again = written < 0 && (errno == EAGAIN || errno == EINTR);
-        // Nobody is there to be told that the output is gone.
-        if (written < 0 && !again)
+            ::write(descriptor_, bytes.data(), std::min(bytes.size(), maxWriteSize));
+        const bool retryable = written < 0 && (errno == EAGAIN || errno == EINTR);
+        // A failure of the output itself can't be reported anywhere.
+        if (written < 0 && !retryable)
             return;
         if (written > 0)
             bytes.remove_prefix(static_cast<std::size_t>(written));
     }
 }
 
-bool OutputSink::waitForRoom() const
+bool OutputSink::waitUntilWritable() const
 {
     pollfd output{descriptor_, POLLOUT, 0};
-    while (monotonicNow() < giveUpAt_.load()) {
-        if (::poll(&output, 1, waitMilliseconds) != 0)
+    while (monotonicNow() < deadline_.load()) {
+        if (::poll(&output, 1, pollMilliseconds) != 0)
             return true;
     }
     return false;
--- a/Source/Process/OutputSink.h
+++ b/Source/Process/OutputSink.h
@@ -10,28 +10,28 @@
 
 namespace wisteria {
 
-/// Writes log lines to standard output and never stands in a write.
+/// Log sink that writes to a descriptor without blocking in write().
 ///
-/// A reader that stops reading fills the pipe. The library's own sink then waits in write() for
-/// good, and a process that is told to stop can't end, as its log's thread has to be joined. This
-/// one asks whether there is room first, and gives up once the process is ending.
+/// A reader that stops reading fills the pipe. spdlog's stdout sink then blocks in write()
+/// indefinitely, and the process can't shut down because it has to join the log's thread. This
+/// sink polls until the descriptor is writable, and drops lines after a deadline.
 class OutputSink : public spdlog::sinks::base_sink<std::mutex>
 {
 public:
-    /// @param descriptor Where lines go; stays open.
+    /// @param descriptor Descriptor to write to; the sink does not close it.
     explicit OutputSink(int descriptor) : descriptor_(descriptor) { }
 
-    /// From that moment on lines that nobody reads are dropped instead of waited for.
-    void giveUpAt(TimePoint moment);
+    /// After the deadline the sink drops all lines.
+    void setDeadline(TimePoint deadline);
 
 private:
     void sink_it_(const spdlog::details::log_msg &message) override;
     void flush_() override { }
     void writeAll(std::string_view bytes);
-    bool waitForRoom() const;
+    bool waitUntilWritable() const;
 
     int descriptor_;
-    std::atomic<TimePoint> giveUpAt_ = TimePoint::max();
+    std::atomic<TimePoint> deadline_ = TimePoint::max();
 };
 
 } // namespace wisteria
--- a/Source/Process/Settings.cpp
+++ b/Source/Process/Settings.cpp
@@ -15,27 +15,28 @@
 
 using Adapter = valijson::adapters::NlohmannJsonAdapter;
 
-/// The validator gives a place as "<root>", "[services]", "[0]"; people read "/services/0".
-std::string placeOf(const std::vector<std::string> &context)
+/// Converts the validator's path, such as "<root>", "[services]", "[0]", to "/services/0".
+std::string jsonPathOf(const std::vector<std::string> &context)
 {
-    std::string place;
+    std::string path;
     for (const std::string &part : context) {
         if (part.size() > 2 && part.front() == '[' && part.back() == ']')
-            place += "/" + part.substr(1, part.size() - 2);
+            path += "/" + part.substr(1, part.size() - 2);
     }
-    return place.empty() ? "the top" : place;
+    return path.empty() ? "the top" : path;
 }
 
-/// The validator reports the failed entry first and then each object around it; only the first
-/// tells a person what to correct.
+/// Returns the validator's first error as text: it is about the invalid entry. The errors after it
+/// are about the objects that contain the entry, and don't help to correct it.
 std::string describe(valijson::ValidationResults &results)
 {
     valijson::ValidationResults::Error error;
     if (!results.popError(error))
         return "at the top: does not match the schema";
-    return "at " + placeOf(error.context) + ": " + error.description;
+    return "at " + jsonPathOf(error.context) + ": " + error.description;
 }
 
+/// Returns the line and column of an offset, both counted from 1.
 std::string lineAndColumn(const std::string &text, std::size_t offset)
 {
     std::size_t line = 1;
--- a/Source/Process/Settings.h
+++ b/Source/Process/Settings.h
@@ -9,13 +9,14 @@
 namespace wisteria {
 
 /// Parses JSON with comments and checks it against a JSON schema (draft 7).
-/// @param name What messages call the text, usually its file name.
-/// @return BadSettings whose message gives the name, the place, what was expected and the remedy.
+/// @param name Name of the text in error messages, usually its file name.
+/// @return The document, or BadSettings with the name, the position, what was expected and how to
+/// correct it.
 Result<nlohmann::json> parseSettings(const std::string &text, const std::string &name,
                                      const nlohmann::json &schema);
 
-/// Reads a settings file and parses it as parseSettings() does.
-/// @return NotFound if the file can't be read; otherwise as parseSettings().
+/// Reads a settings file and parses it with parseSettings().
+/// @return NotFound if the file can't be read, otherwise the result of parseSettings().
 Result<nlohmann::json> loadSettings(const std::string &path, const nlohmann::json &schema);
 
 } // namespace wisteria
--- a/Source/Process/SettingsSchema.h
+++ b/Source/Process/SettingsSchema.h
@@ -4,13 +4,13 @@
 
 namespace wisteria {
 
-/// Schema of an "IP number and port".
+/// Schema of an IPv4 address with a port, such as "10.1.0.40:8227".
 inline nlohmann::json addressSchema()
 {
     return {{"type", "string"}, {"pattern", "^[0-9.]+:[0-9]+$"}};
 }
 
-/// Schema of a platform service: an object with its base URL.
+/// Schema of a platform service: an object whose "url" is an HTTP base URL without a path.
 inline nlohmann::json urlSchema()
 {
     return {{"type", "object"},
@@ -19,7 +19,7 @@
             {"additionalProperties", false}};
 }
 
-/// Schema of a name.
+/// Schema of a name: a string that is not empty.
 inline nlohmann::json nameSchema()
 {
     return {{"type", "string"}, {"minLength", 1}};
--- a/Source/Process/ShutdownSignal.h
+++ b/Source/Process/ShutdownSignal.h
@@ -6,14 +6,15 @@
 
 namespace wisteria {
 
-/// Turns SIGTERM and SIGINT into a call on a loop, and SIGHUP into another. Must be made before any
-/// other thread starts, so that every thread inherits the blocked signals and only the loop
-/// receives them.
+/// Calls callbacks on an event loop for SIGTERM, SIGINT and SIGHUP, and ignores SIGPIPE. Must be
+/// created before any other thread starts, so that all threads inherit the blocked signals and only
+/// the loop receives them.
 class ShutdownSignal
 {
 public:
     /// @param requested Called on the loop's thread for each SIGTERM and SIGINT.
-    /// @param reload Called for each SIGHUP; without it the signal ends the process, as usual.
+    /// @param reload Called on the loop's thread for each SIGHUP. If null, SIGHUP keeps its default
+    /// action and ends the process.
     ShutdownSignal(EventLoop &loop, std::function<void()> requested,
                    std::function<void()> reload = nullptr);
     ~ShutdownSignal();
--- a/Source/Process/Time.h
+++ b/Source/Process/Time.h
@@ -6,10 +6,10 @@
 
 namespace wisteria {
 
-/// The clock that decisions are measured by; it never jumps, and differs from VM to VM.
+/// Monotonic clock for timeouts and deadlines. Its epoch differs from VM to VM.
 ///
-/// It counts the time for which a VM was suspended. A clock that leaves it out would show a lease
-/// or a deadline as valid that ran out for everybody else while the VM stood still.
+/// It includes the time during which the VM was suspended (CLOCK_BOOTTIME). Without that time a
+/// lease or a deadline that expired during the suspension would still look valid on this VM.
 struct BootClock
 {
     using duration = std::chrono::nanoseconds;
@@ -28,28 +28,28 @@
 };
 
 using Clock = BootClock;
-/// A moment of one VM's clock since its boot. Tests pass moments of virtual time.
+/// Point in time on one VM's clock since its boot. Tests pass virtual time.
 using TimePoint = Clock::time_point;
-/// Moment of the wall clock, for idempotency keys and for people.
+/// Wall clock time in milliseconds, for idempotency keys and for output to users.
 using WallTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Reads the monotonic clock. Only process shells call this; decisions take the time as argument.
+/// Reads the monotonic clock. For the I/O layer only; decision functions have a `now` parameter.
 inline TimePoint monotonicNow()
 {
     return Clock::now();
 }
 
-/// Reads the wall clock. Only process shells call this.
+/// Reads the wall clock. For the I/O layer only.
 inline WallTime wallNow()
 {
     return std::chrono::time_point_cast<milliseconds>(std::chrono::system_clock::now());
 }
 
-/// Milliseconds from now until then, never below zero.
+/// Returns the time from `now` until `then` in whole milliseconds, or 0 if `then` has passed.
 inline milliseconds remaining(TimePoint now, TimePoint then)
 {
     if (then <= now)
@@ -57,7 +57,7 @@
     return std::chrono::duration_cast<milliseconds>(then - now);
 }
 
-/// A time in seconds with its fraction, for logs and metrics.
+/// Converts a duration to fractional seconds, for logs and metrics.
 inline double secondsOf(milliseconds time)
 {
     return std::chrono::duration<double>(time).count();
--- a/Source/Process/VmWatcher.cpp
+++ b/Source/Process/VmWatcher.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr milliseconds askInterval(1000);
-constexpr milliseconds askTimeout(2000);
+constexpr milliseconds pollInterval(1000);
+constexpr milliseconds requestTimeout(2000);
 constexpr long httpOk = 200;
 
 } // namespace
@@ -21,8 +21,8 @@
 class VmWatcher::Private
 {
 public:
-    Private(const std::string &url, Seen seen)
-        : http_(url), seen_(std::move(seen)), thread_([this] { run(); })
+    Private(const std::string &url, OnUpdate onUpdate)
+        : http_(url), onUpdate_(std::move(onUpdate)), thread_([this] { run(); })
     { }
 
     ~Private()
@@ -42,26 +42,27 @@
         std::unique_lock<std::mutex> lock(mutex_);
         while (!stopping_) {
             lock.unlock();
-            ask();
+            poll();
             lock.lock();
-            wake_.wait_for(lock, askInterval, [this] { return stopping_; });
+            wake_.wait_for(lock, pollInterval, [this] { return stopping_; });
         }
     }
 
-    void ask()
+    void poll()
     {
-        const PlatformAnswer answer = http_.get("/vms", askTimeout);
+        const PlatformAnswer answer = http_.get("/vms", requestTimeout);
         if (answer.status != httpOk)
-            return loggerFor("vms")->debug("No list of VMs ({}).", describe(answer));
+            return loggerFor("vms")->debug("The list of VMs is not available ({}).",
+                                           describe(answer));
         const auto list = parseVmList(answer.body);
         if (list.has_error())
             return loggerFor("vms")->warn("{}", list.error().message);
         updateVmList(view_, list.value(), monotonicNow());
-        seen_(view_);
+        onUpdate_(view_);
     }
 
     PlatformHttp http_;
-    Seen seen_;
+    OnUpdate onUpdate_;
     VmView view_;
     std::mutex mutex_;
     std::condition_variable wake_;
@@ -69,8 +70,8 @@
     std::thread thread_;
 };
 
-VmWatcher::VmWatcher(const std::string &url, Seen seen)
-    : private_(std::make_unique<Private>(url, std::move(seen)))
+VmWatcher::VmWatcher(const std::string &url, OnUpdate onUpdate)
+    : private_(std::make_unique<Private>(url, std::move(onUpdate)))
 { }
 
 VmWatcher::~VmWatcher() = default;
--- a/Source/Process/VmWatcher.h
+++ b/Source/Process/VmWatcher.h
@@ -8,17 +8,17 @@
 
 namespace wisteria {
 
-/// Asks the platform for its list of VMs on a thread of its own.
+/// Polls the platform's list of VMs on a background thread.
 class VmWatcher
 {
 public:
-    using Seen = std::function<void(VmView)>;
+    using OnUpdate = std::function<void(VmView)>;
 
-    /// @param url Base of the service that has the list.
-    /// @param seen Called on the watcher's thread after each list.
-    VmWatcher(const std::string &url, Seen seen);
+    /// @param url Base URL of the service that has the list.
+    /// @param onUpdate Called on the watcher's thread after each list that was received.
+    VmWatcher(const std::string &url, OnUpdate onUpdate);
 
-    /// Stops and waits for the thread, about a second at most.
+    /// Stops the thread and waits for it, for up to about one second.
     ~VmWatcher();
     VmWatcher(const VmWatcher &) = delete;
     VmWatcher &operator=(const VmWatcher &) = delete;
--- a/Source/Programs/Gateway/Exchange.cpp
+++ b/Source/Programs/Gateway/Exchange.cpp
@@ -153,7 +153,7 @@
     body_.clear();
     splitter_.discardPartialEvent();
     const ConnectionUse use = route_.repeatable() ? ConnectionUse::Reuse : ConnectionUse::Fresh;
-    if (context_.log.writes(LogLevel::Debug)) {
+    if (context_.log.shouldLog(LogLevel::Debug)) {
         context_.log.debug("request.send",
                            {{"id", request_.attemptId},
                             {"backend", backendId_},
--- a/Source/Programs/Gateway/Gateway.cpp
+++ b/Source/Programs/Gateway/Gateway.cpp
@@ -307,7 +307,7 @@
              .waitingRequests = waiting_.size(),
              .serverLimits = activeLimitCount(registry_.limits),
              .ready = ready(),
-             .droppedLogLines = log_.dropped()});
+             .droppedLogLines = log_.droppedLines()});
         for (auto &[service, bucket] : context_.retryBuckets) {
             refill(bucket, context_.retryQuota, now);
             setRetriesLeft(metrics_, service, bucket.tokens);
--- a/Source/Programs/RunProgram.h
+++ b/Source/Programs/RunProgram.h
@@ -48,12 +48,13 @@
     TCLAP::ValueArg<std::size_t> queue("", "log-queue",
                                        "Log lines queued for a slow reader, for each of successes "
                                        "and failures",
-                                       false, LogSettings{}.queuedLines, "lines", line);
+                                       false, LogSettings{}.queueCapacity, "lines", line);
     TCLAP::SwitchArg check("", "check", "Check the settings, report the result, and exit", line);
     line.parse(argc, argv);
-    return {.metricsPort = port.getValue(),
-            .log = {.least = logLevelFromName(level.getValue()), .queuedLines = queue.getValue()},
-            .check = check.getValue()};
+    return {
+        .metricsPort = port.getValue(),
+        .log = {.minLevel = logLevelFromName(level.getValue()), .queueCapacity = queue.getValue()},
+        .check = check.getValue()};
 }
 
 /// Loads the settings from the file that the platform names, and runs a process with them.
--- a/Source/Programs/Sidecar/Sidecar.cpp
+++ b/Source/Programs/Sidecar/Sidecar.cpp
@@ -98,7 +98,7 @@
         SidecarState state{.reportAge = remaining(appliedReadBegunAt_, monotonicNow()),
                            .leading = leading_,
                            .gateways = gateways_.size(),
-                           .droppedLogLines = log_.dropped()};
+                           .droppedLogLines = log_.droppedLines()};
         if (status_)
             state.report = status_->report;
         setSidecarState(metrics_, state);
--- a/Tests/Gateway/DecisionsTest.cpp
+++ b/Tests/Gateway/DecisionsTest.cpp
@@ -247,7 +247,7 @@
     "Entries that expired in a store outage are kept until their servers can have renewed them")
 {
     BackendRegistry registry;
-    EventLog log("test", {.least = LogLevel::Error});
+    EventLog log("test", {.minLevel = LogLevel::Error});
     BackendList list(registry, log, pollInterval);
     list.apply({"i-1", entryText("ready"), 0}, start);
     list.apply({"i-2", entryText("ready"), 1}, start);
@@ -267,7 +267,7 @@
 TEST_CASE("A server whose entry returns between two reads is not removed after a store outage")
 {
     BackendRegistry registry;
-    EventLog log("test", {.least = LogLevel::Error});
+    EventLog log("test", {.minLevel = LogLevel::Error});
     constexpr milliseconds interval{1800};
     BackendList list(registry, log, interval);
     list.apply({"i-1", entryText("ready"), 0}, start);
@@ -285,7 +285,7 @@
 TEST_CASE("An unreadable entry removes its server, and a draining entry makes its server unusable")
 {
     BackendRegistry registry;
-    EventLog log("test", {.least = LogLevel::Error});
+    EventLog log("test", {.minLevel = LogLevel::Error});
     BackendList list(registry, log, pollInterval);
     list.applyAll({{"i-1", entryText("ready"), 0}, {"i-2", entryText("ready"), 1}}, start);
     list.apply({"i-1", "{\"service\":7}", 2}, start);
--- a/Tests/Gateway/RestartedEnginesTest.cpp
+++ b/Tests/Gateway/RestartedEnginesTest.cpp
@@ -90,7 +90,7 @@
 private:
     std::uint32_t ranks_;
     BackendRegistry registry_;
-    EventLog log_{"test", {.least = LogLevel::Error}};
+    EventLog log_{"test", {.minLevel = LogLevel::Error}};
     BackendList list_{registry_, log_, pollInterval};
     std::vector<platform::KeyedRecord> unread_;
     std::uint64_t nextOffset_ = 0;
@@ -164,7 +164,7 @@
 {
     GroupRestart restart(1);
     noteReplaced(restart.registry().backends.at("old-0"));
-    EventLog log("test", {.least = LogLevel::Error});
+    EventLog log("test", {.minLevel = LogLevel::Error});
     BackendList list(restart.registry(), log, pollInterval);
     list.apply({"old-0", entryText("model", 0), 0}, start);
     REQUIRE(restart.registry().backends.at("old-0").replaced);
--- a/Tests/Process/BackendHealthTest.cpp
+++ b/Tests/Process/BackendHealthTest.cpp
@@ -4,30 +4,30 @@
 
 using namespace wisteria;
 
-// A killer request goes on to the next backend server unsuspected. Order: a health check is
-// answered, the request kills the backend server, and the check's answer is read after the broken
-// connection. Cause: the check tells of the time before the death.
-TEST_CASE("A check that was begun before a connection broke does not clear the backend server")
+// Failure: a poison request is retried on the next backend server without being suspected. The
+// backend server answers a health check, the request crashes it, and the agent reads the check's
+// answer after the connection loss. That answer describes the time before the crash.
+TEST_CASE("A check that began before a connection was lost does not prove the server healthy")
 {
-    HealthChecks checks{.underWay = true};
-    CHECK_FALSE(checkAfterCut(checks));
-    CHECK_FALSE(checkEnded(checks, BackendCallEnd::Complete).has_value());
-    checks.underWay = true;
-    CHECK(checkEnded(checks, BackendCallEnd::NotConnected) == BackendCondition::Dead);
+    HealthCheckState state{.inProgress = true};
+    CHECK_FALSE(shouldCheckAfterLoss(state));
+    CHECK_FALSE(finishCheck(state, BackendCallEnd::Complete).has_value());
+    state.inProgress = true;
+    CHECK(finishCheck(state, BackendCallEnd::NotConnected) == BackendCondition::Dead);
 }
 
-TEST_CASE("A check that was begun after a connection broke is believed")
+TEST_CASE("The result of a check that began after a connection was lost is used")
 {
-    HealthChecks checks;
-    CHECK(checkAfterCut(checks));
-    checks.underWay = true;
-    CHECK(checkEnded(checks, BackendCallEnd::Complete) == BackendCondition::Up);
+    HealthCheckState state;
+    CHECK(shouldCheckAfterLoss(state));
+    state.inProgress = true;
+    CHECK(finishCheck(state, BackendCallEnd::Complete) == BackendCondition::Up);
 }
 
-TEST_CASE("A late answer is a stall and no death")
+TEST_CASE("A check that times out means stalled, a lost connection means dead")
 {
-    HealthChecks checks{.underWay = true};
-    CHECK(checkEnded(checks, BackendCallEnd::TimedOut) == BackendCondition::Stalled);
-    checks.underWay = true;
-    CHECK(checkEnded(checks, BackendCallEnd::ConnectionLost) == BackendCondition::Dead);
+    HealthCheckState state{.inProgress = true};
+    CHECK(finishCheck(state, BackendCallEnd::TimedOut) == BackendCondition::Stalled);
+    state.inProgress = true;
+    CHECK(finishCheck(state, BackendCallEnd::ConnectionLost) == BackendCondition::Dead);
 }
--- a/Tests/Process/EventLoopTest.cpp
+++ b/Tests/Process/EventLoopTest.cpp
@@ -11,7 +11,7 @@
 
 using namespace wisteria;
 
-TEST_CASE("Timers run in order of their delays and a cancelled one does not run")
+TEST_CASE("Timers run in the order of their delays and a cancelled timer does not run")
 {
     EventLoop loop;
     std::vector<int> ran;
@@ -26,7 +26,7 @@
     CHECK(ran == std::vector<int>{1, 2});
 }
 
-TEST_CASE("A task posted by another thread wakes the loop, and a full queue refuses")
+TEST_CASE("A task posted by another thread wakes the loop, and a full queue refuses tasks")
 {
     EventLoop loop(1);
     bool ran = false;
@@ -41,7 +41,7 @@
     CHECK(ran);
 }
 
-TEST_CASE("A watcher may remove itself while it runs")
+TEST_CASE("A callback may stop watching its own descriptor")
 {
     EventLoop loop;
     int ends[2];
@@ -60,9 +60,9 @@
     close(ends[1]);
 }
 
-// An idle process keeps a core busy for a twentieth of its time. The reactor waits in whole
-// milliseconds and cut the last part of one off, so it asked again and again until a timer was due.
-TEST_CASE("Waiting for timers costs next to no processor time")
+// Failure: an idle process uses 5% of a core. The reactor truncates its wait to whole milliseconds,
+// so it polls in a busy loop during the last millisecond before a timer.
+TEST_CASE("Waiting for timers uses almost no processor time")
 {
     EventLoop loop;
     int left = 60;
@@ -82,9 +82,9 @@
     CHECK(std::chrono::duration_cast<microseconds>(used).count() < 15000);
 }
 
-// Every sidecar ended by itself at its start, three times in a row. The reactor was opened for more
-// descriptors than the VM allows, stayed closed, and its first use read through a null pointer.
-TEST_CASE("A loop runs where few descriptors are allowed")
+// Failure: every sidecar crashes at its start. Opening the reactor for more descriptors than the
+// process's limit allows fails, and its first use dereferences a null pointer.
+TEST_CASE("A loop runs with a low limit on open descriptors")
 {
     rlimit before{};
     REQUIRE(getrlimit(RLIMIT_NOFILE, &before) == 0);
--- a/Tests/Process/SettingsTest.cpp
+++ b/Tests/Process/SettingsTest.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("Settings may carry comments")
+TEST_CASE("Settings may contain comments")
 {
     const auto settings = parseSettings("// where to listen\n{\"port\": 80}", "a.json", portSchema);
     REQUIRE(settings.has_value());
@@ -31,15 +31,15 @@
     CHECK(settings.error().message.find("correct") != std::string::npos);
 }
 
-TEST_CASE("A wrong entry names its place")
+TEST_CASE("The error for an invalid entry names its path")
 {
     const auto settings = parseSettings("{\"port\": \"eighty\"}", "a.json", portSchema);
     REQUIRE(settings.has_error());
     CHECK(settings.error().message.find("a.json: at /port: ") == 0);
 }
 
-// The operator mistypes a number and the process ends without a message instead of naming the
-// file. The JSON library reports a number out of range by another exception than a syntax error.
+// Failure: a mistyped number in the settings ends the process without a message that names the
+// file. The JSON library has separate exceptions for a number out of range and a syntax error.
 TEST_CASE("A number that is out of range is reported and does not end the process")
 {
     const auto settings = parseSettings("{\"port\": 1e999}", "a.json", portSchema);
--- a/Tests/Soak/FaultProxy.cpp
+++ b/Tests/Soak/FaultProxy.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int lookMilliseconds = 20;
+constexpr int pollMilliseconds = 20;
 constexpr int delayMilliseconds = 150;
 
 sockaddr_in addressOf(const Endpoint &endpoint)
@@ -40,7 +40,7 @@
     constexpr int backlog = 128;
     if (::bind(listener_, reinterpret_cast<sockaddr *>(&address), size) != 0
         || ::listen(listener_, backlog) != 0)
-        throw std::runtime_error("the proxy can't listen on loopback");
+        throw std::runtime_error("the fault proxy can't listen on 127.0.0.1");
     ::getsockname(listener_, reinterpret_cast<sockaddr *>(&address), &size);
     endpoint_ = {INADDR_LOOPBACK, ntohs(address.sin_port)};
     acceptor_ = std::thread([this] { acceptLoop(); });
@@ -75,20 +75,22 @@
         ::connect(server, reinterpret_cast<const sockaddr *>(&address), sizeof(address)) == 0;
     bool open = connected;
     while (open && !stopping_ && generation == generation_) {
-        pollfd wanted[2] = {{client, POLLIN, 0}, {server, POLLIN, 0}};
-        if (::poll(wanted, 2, lookMilliseconds) <= 0)
+        pollfd polled[2] = {{client, POLLIN, 0}, {server, POLLIN, 0}};
+        if (::poll(polled, 2, pollMilliseconds) <= 0)
             continue;
         const LinkFault fault = fault_;
-        const bool requestsStand = fault == LinkFault::Silenced || fault == LinkFault::RequestsCut;
-        const bool answersStand = fault == LinkFault::Silenced || fault == LinkFault::AnswersCut;
+        const bool blockRequests =
+            fault == LinkFault::Blackholed || fault == LinkFault::RequestsBlocked;
+        const bool blockAnswers =
+            fault == LinkFault::Blackholed || fault == LinkFault::AnswersBlocked;
         if (fault == LinkFault::Delayed)
             ::poll(nullptr, 0, delayMilliseconds);
-        if (wanted[0].revents != 0 && !requestsStand)
-            open = pass(client, server);
-        if (open && wanted[1].revents != 0 && !answersStand)
-            open = pass(server, client);
-        if (requestsStand || answersStand)
-            ::poll(nullptr, 0, lookMilliseconds);
+        if (polled[0].revents != 0 && !blockRequests)
+            open = forwardBytes(client, server);
+        if (open && polled[1].revents != 0 && !blockAnswers)
+            open = forwardBytes(server, client);
+        if (blockRequests || blockAnswers)
+            ::poll(nullptr, 0, pollMilliseconds);
     }
     if (generation != generation_) {
         closeWithReset(client);
@@ -99,7 +101,7 @@
     ::close(server);
 }
 
-bool FaultProxy::pass(int from, int to)
+bool FaultProxy::forwardBytes(int from, int to)
 {
     char bytes[8192];
     const ssize_t count = ::recv(from, bytes, sizeof(bytes), 0);
--- a/Tests/Soak/FaultProxy.h
+++ b/Tests/Soak/FaultProxy.h
@@ -8,16 +8,16 @@
 
 namespace wisteria::soak {
 
-/// What a proxy does to the bytes that pass through it.
+/// Network fault that a proxy injects into its connections.
 enum class LinkFault {
     None,
-    Delayed, ///< Every byte comes 150 ms late.
-    Silenced, ///< Nothing passes either way; connections stay open.
-    RequestsCut, ///< Nothing passes towards the server.
-    AnswersCut, ///< Nothing passes towards the client.
+    Delayed, ///< Each read of data is delayed by 150 ms.
+    Blackholed, ///< No data is forwarded in either direction; connections stay open.
+    RequestsBlocked, ///< No data is forwarded to the server.
+    AnswersBlocked, ///< No data is forwarded to the client.
 };
 
-/// A loopback proxy whose link a soak can harm: one thread a connection.
+/// A TCP proxy on loopback that injects faults, with one thread per connection.
 class FaultProxy
 {
 public:
@@ -28,13 +28,13 @@
 
     const Endpoint &endpoint() const { return endpoint_; }
     void setFault(LinkFault fault) { fault_ = fault; }
-    /// Resets every open connection; new ones are taken again.
+    /// Resets all open connections; new connections are accepted.
     void resetConnections() { ++generation_; }
 
 private:
     void acceptLoop();
     void forward(int client);
-    static bool pass(int from, int to);
+    static bool forwardBytes(int from, int to);
 
     Endpoint target_;
     Endpoint endpoint_;
--- a/Tests/Soak/KeptCaller.cpp
+++ b/Tests/Soak/KeepAliveCaller.cpp
@@ -1,4 +1,4 @@
-#include "Soak/KeptCaller.h"
+#include "Soak/KeepAliveCaller.h"
 
 #include <arpa/inet.h>
 #include <poll.h>
@@ -11,17 +11,17 @@
 
 namespace {
 
-/// Longer than any route's timeout, so that an answer that comes late is still seen.
+/// Longer than any route's timeout, so that late answers are received too.
 constexpr int answerMilliseconds = 6000;
 
 } // namespace
 
-KeptCaller::~KeptCaller()
+KeepAliveCaller::~KeepAliveCaller()
 {
     close();
 }
 
-bool KeptCaller::connect()
+bool KeepAliveCaller::connect()
 {
     if (descriptor_ >= 0)
         return true;
@@ -36,14 +36,14 @@
     return false;
 }
 
-void KeptCaller::close()
+void KeepAliveCaller::close()
 {
     if (descriptor_ >= 0)
         ::close(descriptor_);
     descriptor_ = -1;
 }
 
-gateway_tests::CallResult KeptCaller::call(const std::string &request)
+gateway_tests::CallResult KeepAliveCaller::call(const std::string &request)
 {
     gateway_tests::CallResult result;
     if (!connect())
@@ -62,8 +62,8 @@
                            .complete = [&] { result.whole = true; },
                            .malformed = [](const std::string &) {}},
                           false);
-    pollfd wanted{descriptor_, POLLIN, 0};
-    while (!result.whole && ::poll(&wanted, 1, answerMilliseconds) > 0) {
+    pollfd polled{descriptor_, POLLIN, 0};
+    while (!result.whole && ::poll(&polled, 1, answerMilliseconds) > 0) {
         char bytes[4096];
         const ssize_t count = ::recv(descriptor_, bytes, sizeof(bytes), 0);
         if (count <= 0)
--- a/Tests/Soak/SoakClients.cpp
+++ b/Tests/Soak/SoakClients.cpp
@@ -24,7 +24,7 @@
         + id + "\r\nWisteriawind-Deadline-Ms: 3000\r\nContent-Length: 0\r\n\r\n";
 }
 
-/// The body of a stream up to an event.
+/// Returns the body of a stream up to and including an event.
 std::string streamUpTo(const std::string &id, int last)
 {
     std::string text;
@@ -40,7 +40,7 @@
 SoakClients::SoakClients(Fleet &fleet, int clients) : fleet_(fleet)
 {
     for (int client = 0; client < clients; ++client)
-        threads_.emplace_back([this, client] { work(client); });
+        threads_.emplace_back([this, client] { run(client); });
 }
 
 SoakClients::~SoakClients()
@@ -69,48 +69,52 @@
     return refused_;
 }
 
-void SoakClients::work(int client)
+void SoakClients::run(int client)
 {
     Callers callers;
     for (const auto &gateway : fleet_.gateways())
-        callers.push_back(std::make_unique<KeptCaller>(gateway->callers()));
+        callers.push_back(std::make_unique<KeepAliveCaller>(gateway->callers()));
     for (int number = 0; !stopping_; ++number) {
-        ask(callers, client, number);
+        sendRequest(callers, client, number);
         ::poll(nullptr, 0, pauseMilliseconds);
     }
 }
 
-void SoakClients::ask(Callers &callers, int client, int number)
+void SoakClients::sendRequest(Callers &callers, int client, int number)
 {
     const std::string &kind = kinds.at(static_cast<std::size_t>(number) % kinds.size());
     const std::string id = kind + "-" + std::to_string(client) + "-" + std::to_string(number);
-    KeptCaller &caller = *callers[static_cast<std::size_t>(client + number) % callers.size()];
-    check(id, kind, caller.call(requestFor(kind, id)));
+    KeepAliveCaller &caller = *callers[static_cast<std::size_t>(client + number) % callers.size()];
+    checkAnswer(id, kind, caller.call(requestFor(kind, id)));
 }
 
-void SoakClients::check(const std::string &id, const std::string &kind, const CallResult &answer)
+void SoakClients::checkAnswer(const std::string &id, const std::string &kind,
+                              const CallResult &answer)
 {
-    const std::string whole = kind == "stream" ? streamUpTo(id, events) : "answer to " + id;
+    const std::string expected = kind == "stream" ? streamUpTo(id, events) : "answer to " + id;
     const bool success = answer.status >= 200 && answer.status < 300;
-    if (success && answer.whole && answer.body != whole)
-        fleet_.book().noteBroken(id + ": a whole answer that is not its own: " + answer.body);
-    if (success && !whole.starts_with(answer.body))
-        fleet_.book().noteBroken(id + ": events missing, doubled or mixed: " + answer.body);
-    const bool own = answer.header("Wisteriawind-Attempt-Id") == id;
-    if (answer.status != 0 && !own)
-        fleet_.book().noteBroken(id + ": an answer to another request");
+    if (success && answer.whole && answer.body != expected)
+        fleet_.recorder().noteViolation(
+            id + ": a complete answer with an unexpected body: " + answer.body);
+    if (success && !expected.starts_with(answer.body))
+        fleet_.recorder().noteViolation(id
+                                        + ": missing, duplicate or mixed events: " + answer.body);
+    const bool matchesRequest = answer.header("Wisteriawind-Attempt-Id") == id;
+    if (answer.status != 0 && !matchesRequest)
+        fleet_.recorder().noteViolation(id + ": the answer belongs to another request");
     if (answer.status >= 400 && answer.status < 500)
-        fleet_.book().noteBroken(id + ": status " + std::to_string(answer.status));
+        fleet_.recorder().noteViolation(id + ": unexpected status "
+                                        + std::to_string(answer.status));
     const std::lock_guard<std::mutex> lock(mutex_);
-    ++counts_.asked;
+    ++counts_.sent;
     if (success && answer.whole)
-        ++counts_.whole;
+        ++counts_.complete;
     else if (answer.status == 503)
         ++counts_.refused;
     else if (answer.status >= 500)
         ++counts_.failed;
     else
-        ++counts_.cut;
+        ++counts_.truncated;
     if (answer.status == 503)
         refused_.push_back(id);
 }
--- a/Tests/Soak/SoakClients.h
+++ b/Tests/Soak/SoakClients.h
@@ -7,45 +7,45 @@
 #include <thread>
 #include <vector>
 
-#include "Soak/KeptCaller.h"
+#include "Soak/KeepAliveCaller.h"
 #include "Soak/SoakFleet.h"
 
 namespace wisteria::soak {
 
-/// How many requests ended in which way.
+/// Number of requests by outcome.
 struct SoakCounts
 {
-    std::size_t asked = 0;
-    std::size_t whole = 0;
+    std::size_t sent = 0;
+    std::size_t complete = 0;
     std::size_t refused = 0;
     std::size_t failed = 0;
-    std::size_t cut = 0;
+    std::size_t truncated = 0;
 };
 
-/// Callers that ask all gateways for all kinds of requests and check each answer.
+/// Callers that send all kinds of requests to all gateways and check each answer.
 class SoakClients
 {
 public:
     SoakClients(Fleet &fleet, int clients);
-    /// Stops the callers and waits for them.
     ~SoakClients();
     SoakClients(const SoakClients &) = delete;
     SoakClients &operator=(const SoakClients &) = delete;
 
-    /// Counts since the last call.
+    /// Returns the counts since the last call and resets them.
     SoakCounts takeCounts();
 
-    /// Ids that were told not to have run.
+    /// Ids of requests that were answered with 503, which states that they were not executed.
     std::vector<std::string> refusedIds() const;
 
+    /// Stops the callers and waits for them.
     void stop();
 
 private:
-    void work(int client);
-    using Callers = std::vector<std::unique_ptr<KeptCaller>>;
-    void ask(Callers &callers, int client, int number);
-    void check(const std::string &id, const std::string &kind,
-               const gateway_tests::CallResult &answer);
+    void run(int client);
+    using Callers = std::vector<std::unique_ptr<KeepAliveCaller>>;
+    void sendRequest(Callers &callers, int client, int number);
+    void checkAnswer(const std::string &id, const std::string &kind,
+                     const gateway_tests::CallResult &answer);
 
     Fleet &fleet_;
     std::atomic<bool> stopping_ = false;
--- a/Tests/Soak/SoakFaults.cpp
+++ b/Tests/Soak/SoakFaults.cpp
@@ -10,178 +10,179 @@
 
 constexpr std::array<std::pair<LinkFault, const char *>, 4> linkFaults = {{
     {LinkFault::Delayed, "delayed"},
-    {LinkFault::Silenced, "silenced"},
-    {LinkFault::RequestsCut, "cut towards the server"},
-    {LinkFault::AnswersCut, "cut towards the client"},
+    {LinkFault::Blackholed, "blocked in both directions"},
+    {LinkFault::RequestsBlocked, "blocked towards the server"},
+    {LinkFault::AnswersBlocked, "blocked towards the client"},
 }};
 
 } // namespace
 
 SoakFaults::SoakFaults(Fleet &fleet, std::uint64_t seed,
-                       std::function<void(const std::string &)> tell)
-    : fleet_(fleet), random_(seed), needsRandom_(~seed), tell_(std::move(tell))
+                       std::function<void(const std::string &)> log)
+    : fleet_(fleet), random_(seed), signalRandom_(~seed), log_(std::move(log))
 { }
 
-std::size_t SoakFaults::below(std::size_t bound)
+std::size_t SoakFaults::randomBelow(std::size_t bound)
 {
     return std::uniform_int_distribution<std::size_t>(0, bound - 1)(random_);
 }
 
-milliseconds SoakFaults::between(int low, int high)
+milliseconds SoakFaults::randomDuration(int low, int high)
 {
     return milliseconds(std::uniform_int_distribution<int>(low, high)(random_));
 }
 
-void SoakFaults::until(TimePoint at, std::function<void()> end)
+void SoakFaults::scheduleEnd(TimePoint at, std::function<void()> end)
 {
-    endings_.push_back({at, std::move(end)});
+    scheduledEnds_.push_back({at, std::move(end)});
 }
 
-void SoakFaults::work(TimePoint now)
+void SoakFaults::advance(TimePoint now)
 {
-    std::vector<Ending> due;
-    std::erase_if(endings_, [&](Ending &ending) {
+    std::vector<ScheduledEnd> due;
+    std::erase_if(scheduledEnds_, [&](ScheduledEnd &ending) {
         if (ending.at > now)
             return false;
         due.push_back(std::move(ending));
         return true;
     });
-    for (const Ending &ending : due)
+    for (const ScheduledEnd &ending : due)
         ending.end();
-    if (now >= nextNeedAt_)
-        putInNeed(now);
+    if (now >= nextSignalAt_)
+        startServerSignal(now);
     if (now < nextAt_)
         return;
-    nextAt_ = now + between(100, 700);
-    begin(now);
+    nextAt_ = now + randomDuration(100, 700);
+    injectFault(now);
 }
 
-void SoakFaults::heal()
+void SoakFaults::endAll()
 {
-    for (const Ending &ending : std::exchange(endings_, {}))
+    for (const ScheduledEnd &ending : std::exchange(scheduledEnds_, {}))
         ending.end();
 }
 
-void SoakFaults::begin(TimePoint now)
+void SoakFaults::injectFault(TimePoint now)
 {
-    switch (below(4)) {
+    switch (randomBelow(4)) {
     case 0:
-        harmServerLink(now);
+        injectServerLinkFault(now);
         return;
     case 1:
-        harmStore(now);
+        injectStoreFault(now);
         return;
     case 2:
-        harmGateway(now);
+        injectGatewayFault(now);
         return;
     default:
-        planWork(now);
+        startPlannedEvent(now);
         return;
     }
 }
 
-void SoakFaults::harmServerLink(TimePoint now)
+void SoakFaults::injectServerLinkFault(TimePoint now)
 {
-    const std::size_t server = below(fleet_.serverLinks().size());
+    const std::size_t server = randomBelow(fleet_.serverLinks().size());
     FaultProxy &link = *fleet_.serverLinks()[server];
     const std::string name = "link of server-" + std::to_string(server);
-    if (below(3) == 0) {
-        tell_(name + " is reset");
+    if (randomBelow(3) == 0) {
+        log_(name + " is reset");
         link.resetConnections();
         return;
     }
-    const auto &[fault, word] = linkFaults.at(below(linkFaults.size()));
-    const milliseconds length = between(200, 2500);
-    tell_(name + " is " + word + " for " + std::to_string(length.count()) + " ms");
+    const auto &[fault, description] = linkFaults.at(randomBelow(linkFaults.size()));
+    const milliseconds length = randomDuration(200, 2500);
+    log_(name + " is " + description + " for " + std::to_string(length.count()) + " ms");
     link.setFault(fault);
-    until(now + length, [&link] { link.setFault(LinkFault::None); });
+    scheduleEnd(now + length, [&link] { link.setFault(LinkFault::None); });
 }
 
-void SoakFaults::harmStore(TimePoint now)
+void SoakFaults::injectStoreFault(TimePoint now)
 {
-    const milliseconds length = between(200, 2500);
+    const milliseconds length = randomDuration(200, 2500);
     const std::string times = " for " + std::to_string(length.count()) + " ms";
-    switch (below(3)) {
+    switch (randomBelow(3)) {
     case 0:
-        tell_("link of the store is reset");
+        log_("link of the store is reset");
         fleet_.storeLink().resetConnections();
         return;
     case 1:
-        tell_("the store is away" + times);
+        log_("the store is unavailable" + times);
         fleet_.store().setUnavailable(true);
-        until(now + length, [this] { fleet_.store().setUnavailable(false); });
+        scheduleEnd(now + length, [this] { fleet_.store().setUnavailable(false); });
         return;
     default:
-        const auto &[fault, word] = linkFaults.at(below(linkFaults.size()));
-        tell_("link of the store is " + std::string(word) + times);
+        const auto &[fault, description] = linkFaults.at(randomBelow(linkFaults.size()));
+        log_("link of the store is " + std::string(description) + times);
         fleet_.storeLink().setFault(fault);
-        until(now + length, [this] { fleet_.storeLink().setFault(LinkFault::None); });
+        scheduleEnd(now + length, [this] { fleet_.storeLink().setFault(LinkFault::None); });
         return;
     }
 }
 
-void SoakFaults::harmGateway(TimePoint now)
+void SoakFaults::injectGatewayFault(TimePoint now)
 {
-    const std::size_t number = below(fleet_.gateways().size());
+    const std::size_t number = randomBelow(fleet_.gateways().size());
     GatewayProcess &gateway = *fleet_.gateways()[number];
     const std::string name = "gateway-" + std::to_string(number);
-    const milliseconds length = between(100, 1500);
+    const milliseconds length = randomDuration(100, 1500);
     if (!gateway.running())
         return;
-    if (below(2) == 0) {
-        tell_(name + " stands for " + std::to_string(length.count()) + " ms");
+    if (randomBelow(2) == 0) {
+        log_(name + " is suspended for " + std::to_string(length.count()) + " ms");
         gateway.signal(SIGSTOP);
-        until(now + length, [&gateway] { gateway.signal(SIGCONT); });
+        scheduleEnd(now + length, [&gateway] { gateway.signal(SIGCONT); });
         return;
     }
-    tell_(name + " is killed, and started after " + std::to_string(length.count()) + " ms");
+    log_(name + " is killed, and restarted after " + std::to_string(length.count()) + " ms");
     gateway.kill();
-    until(now + length, [&gateway] {
+    scheduleEnd(now + length, [&gateway] {
         if (!gateway.running())
             gateway.start();
     });
 }
 
-void SoakFaults::putInNeed(TimePoint now)
+void SoakFaults::startServerSignal(TimePoint now)
 {
-    const auto draw = [this](int low, int high) {
-        return std::uniform_int_distribution<int>(low, high)(needsRandom_);
+    const auto randomInt = [this](int low, int high) {
+        return std::uniform_int_distribution<int>(low, high)(signalRandom_);
     };
-    nextNeedAt_ = now + milliseconds(draw(300, 1500));
+    nextSignalAt_ = now + milliseconds(randomInt(300, 1500));
     const auto server =
-        static_cast<std::size_t>(draw(0, static_cast<int>(fleet_.serverLinks().size()) - 1));
-    const milliseconds length{draw(300, 3000)};
-    const bool rests = draw(0, 1) == 0;
-    tell_("server-" + std::to_string(server) + (rests ? " asks for rest" : " names a limit")
-          + " for " + std::to_string(length.count()) + " ms");
-    fleet_.setNeed(server, rests ? Need::Rest : Need::Limit);
-    until(now + length, [this, server] { fleet_.setNeed(server, Need::None); });
+        static_cast<std::size_t>(randomInt(0, static_cast<int>(fleet_.serverLinks().size()) - 1));
+    const milliseconds length{randomInt(300, 3000)};
+    const bool backoff = randomInt(0, 1) == 0;
+    log_("server-" + std::to_string(server)
+         + (backoff ? " asks for backoff" : " advertises a limit") + " for "
+         + std::to_string(length.count()) + " ms");
+    fleet_.setSignal(server, backoff ? ServerSignal::Backoff : ServerSignal::Limit);
+    scheduleEnd(now + length, [this, server] { fleet_.setSignal(server, ServerSignal::None); });
 }
 
-void SoakFaults::planWork(TimePoint now)
+void SoakFaults::startPlannedEvent(TimePoint now)
 {
-    const milliseconds length = between(300, 2000);
-    const std::size_t server = below(fleet_.serverLinks().size());
-    switch (below(4)) {
+    const milliseconds length = randomDuration(300, 2000);
+    const std::size_t server = randomBelow(fleet_.serverLinks().size());
+    switch (randomBelow(4)) {
     case 0: {
-        const std::size_t number = below(fleet_.gateways().size());
-        tell_("SIGHUP for gateway-" + std::to_string(number));
+        const std::size_t number = randomBelow(fleet_.gateways().size());
+        log_("SIGHUP for gateway-" + std::to_string(number));
         fleet_.gateways()[number]->signal(SIGHUP);
         return;
     }
     case 1:
-        tell_("server-" + std::to_string(server) + " leaves for a while");
+        log_("server-" + std::to_string(server) + " drains for a while");
         fleet_.report(server, true);
-        until(now + length, [this, server] { fleet_.report(server, false); });
+        scheduleEnd(now + length, [this, server] { fleet_.report(server, false); });
         return;
     case 2:
-        tell_("a new configuration");
+        log_("a new configuration is published");
         fleet_.publish(true);
         return;
     default:
-        tell_("streams break off for a while");
+        log_("backend servers abort streams for a while");
         fleet_.setCrashing(true);
-        until(now + length, [this] { fleet_.setCrashing(false); });
+        scheduleEnd(now + length, [this] { fleet_.setCrashing(false); });
         return;
     }
 }
--- a/Tests/Soak/SoakFaults.h
+++ b/Tests/Soak/SoakFaults.h
@@ -9,44 +9,44 @@
 
 namespace wisteria::soak {
 
-/// Draws faults from a seed and brings them upon a fleet; they come in series and overlap.
+/// Injects random faults into a fleet, reproducibly by seed. Faults may overlap.
 class SoakFaults
 {
 public:
-    /// @param tell Told each fault as one line.
-    SoakFaults(Fleet &fleet, std::uint64_t seed, std::function<void(const std::string &)> tell);
+    /// @param log Called with a one-line description of each fault.
+    SoakFaults(Fleet &fleet, std::uint64_t seed, std::function<void(const std::string &)> log);
 
-    /// Ends the faults whose time is over, and begins another one now and then.
-    void work(TimePoint now);
+    /// Ends the faults whose duration has passed, and injects further ones at random intervals.
+    void advance(TimePoint now);
 
     /// Ends all faults.
-    void heal();
+    void endAll();
 
 private:
-    struct Ending
+    struct ScheduledEnd
     {
         TimePoint at;
         std::function<void()> end;
     };
 
-    std::size_t below(std::size_t bound);
-    milliseconds between(int low, int high);
-    void begin(TimePoint now);
-    void harmServerLink(TimePoint now);
-    void harmStore(TimePoint now);
-    void harmGateway(TimePoint now);
-    void planWork(TimePoint now);
-    void putInNeed(TimePoint now);
-    void until(TimePoint at, std::function<void()> end);
+    std::size_t randomBelow(std::size_t bound);
+    milliseconds randomDuration(int low, int high);
+    void injectFault(TimePoint now);
+    void injectServerLinkFault(TimePoint now);
+    void injectStoreFault(TimePoint now);
+    void injectGatewayFault(TimePoint now);
+    void startPlannedEvent(TimePoint now);
+    void startServerSignal(TimePoint now);
+    void scheduleEnd(TimePoint at, std::function<void()> end);
 
     Fleet &fleet_;
     std::mt19937_64 random_;
-    /// Needs of servers are drawn apart: the series of the other faults stays that of its seed.
-    std::mt19937_64 needsRandom_;
-    std::function<void(const std::string &)> tell_;
-    std::vector<Ending> endings_;
+    /// Separate generator for server signals, so that they don't change a seed's other faults.
+    std::mt19937_64 signalRandom_;
+    std::function<void(const std::string &)> log_;
+    std::vector<ScheduledEnd> scheduledEnds_;
     TimePoint nextAt_;
-    TimePoint nextNeedAt_;
+    TimePoint nextSignalAt_;
 };
 
 } // namespace wisteria::soak
--- a/Tests/Soak/SoakFleet.cpp
+++ b/Tests/Soak/SoakFleet.cpp
@@ -19,7 +19,7 @@
 
 constexpr int events = 8;
 constexpr int eventMilliseconds = 25;
-/// Every so many streams a crashing server breaks one off.
+/// One in this many streams is aborted while servers crash.
 constexpr unsigned crashEvery = 3;
 const std::string seal = "Wisteriawind-Response-Seal: soak\r\n";
 
@@ -49,7 +49,7 @@
             {"public", false}};
 }
 
-bool eventuallyWithin(int milliseconds, const std::function<bool()> &condition)
+bool pollUntil(int milliseconds, const std::function<bool()> &condition)
 {
     constexpr int step = 20;
     for (int waited = 0; waited < milliseconds; waited += step) {
@@ -62,34 +62,35 @@
 
 } // namespace
 
-void RunBook::noteRun(const std::string &id, const std::string &path)
+void RunRecorder::noteRun(const std::string &id, const std::string &path)
 {
     const std::lock_guard<std::mutex> lock(mutex_);
     const std::size_t runs = ++runs_[id];
     if (path.starts_with("/once/") && runs > 1)
-        broken_.push_back(id + " may run once and ran " + std::to_string(runs) + " times");
-    constexpr std::size_t attemptsAtMost = 2;
-    if (runs > attemptsAtMost)
-        broken_.push_back(id + " ran " + std::to_string(runs) + " times; its route allows 2");
+        violations_.push_back(id + " may run once but ran " + std::to_string(runs) + " times");
+    constexpr std::size_t maxAttempts = 2;
+    if (runs > maxAttempts)
+        violations_.push_back(id + " ran " + std::to_string(runs)
+                              + " times; its route allows 2 attempts");
 }
 
-void RunBook::noteBroken(const std::string &what)
+void RunRecorder::noteViolation(const std::string &what)
 {
     const std::lock_guard<std::mutex> lock(mutex_);
-    broken_.push_back(what);
+    violations_.push_back(what);
 }
 
-std::size_t RunBook::runs(const std::string &id) const
+std::size_t RunRecorder::runs(const std::string &id) const
 {
     const std::lock_guard<std::mutex> lock(mutex_);
     const auto found = runs_.find(id);
     return found == runs_.end() ? 0 : found->second;
 }
 
-std::vector<std::string> RunBook::broken() const
+std::vector<std::string> RunRecorder::violations() const
 {
     const std::lock_guard<std::mutex> lock(mutex_);
-    return broken_;
+    return violations_;
 }
 
 GatewayProcess::GatewayProcess(std::string program, const std::string &folder, int number,
@@ -154,7 +155,7 @@
     constexpr int graceMilliseconds = 7000;
     signal(SIGTERM);
     int status = 0;
-    const bool ended = eventuallyWithin(
+    const bool ended = pollUntil(
         graceMilliseconds, [this, &status] { return ::waitpid(pid_, &status, WNOHANG) == pid_; });
     if (!ended) {
         kill();
@@ -164,7 +165,7 @@
     return WIFEXITED(status) && WEXITSTATUS(status) == 0;
 }
 
-bool GatewayProcess::endedByItself()
+bool GatewayProcess::exitedUnexpectedly()
 {
     if (pid_ <= 0 || ::waitpid(pid_, nullptr, WNOHANG) != pid_)
         return false;
@@ -174,7 +175,7 @@
 
 Fleet::Fleet(const std::string &program, const std::string &folder, int gatewayCount)
 {
-    for (std::size_t i = 0; i < needs_.size(); ++i) {
+    for (std::size_t i = 0; i < signals_.size(); ++i) {
         servers_.push_back(std::make_unique<ScriptedServer>(
             [this, i](const SeenRequest &request, ScriptPeer &peer) { answer(i, request, peer); }));
         serverLinks_.push_back(std::make_unique<FaultProxy>(servers_.back()->endpoint()));
@@ -214,8 +215,8 @@
 void Fleet::answer(std::size_t server, const SeenRequest &request, ScriptPeer &peer)
 {
     const std::string id = request.header("Wisteriawind-Attempt-Id");
-    const Need need = needs_.at(server);
-    if (need == Need::Rest) {
+    const ServerSignal serverSignal = signals_.at(server);
+    if (serverSignal == ServerSignal::Backoff) {
         peer.send(plainResponse(503,
                                 "Wisteriawind-Not-Executed: 1\r\nRetry-After: 0.5\r\n"
                                 "Wisteriawind-Attempt-Id: "
@@ -224,10 +225,10 @@
         return;
     }
     const std::string fields =
-        fieldsOf(request) + (need == Need::Limit ? "Server-Limit: 2\r\n" : "");
-    book_.noteRun(id, request.target());
+        fieldsOf(request) + (serverSignal == ServerSignal::Limit ? "Server-Limit: 2\r\n" : "");
+    recorder_.noteRun(id, request.target());
     if (!request.header("Authorization").empty())
-        book_.noteBroken(id + ": the caller's key reached a backend server");
+        recorder_.noteViolation(id + ": the caller's key reached a backend server");
     if (request.target().starts_with("/stream/")) {
         stream(request, fields, peer);
         return;
--- a/Tests/Soak/SoakFleet.h
+++ b/Tests/Soak/SoakFleet.h
@@ -16,28 +16,30 @@
 
 namespace wisteria::soak {
 
-/// What the backend servers saw of the requests, by attempt id. Thread-safe.
-class RunBook
+/// Records the runs of requests on backend servers by attempt id, and violations of guarantees.
+/// Thread-safe.
+class RunRecorder
 {
 public:
     void noteRun(const std::string &id, const std::string &path);
-    /// Notes a break of a promise.
-    void noteBroken(const std::string &what);
+    /// Records a violated guarantee.
+    void noteViolation(const std::string &what);
 
     std::size_t runs(const std::string &id) const;
-    std::vector<std::string> broken() const;
+    std::vector<std::string> violations() const;
 
 private:
     mutable std::mutex mutex_;
     std::map<std::string, std::size_t> runs_;
-    std::vector<std::string> broken_;
+    std::vector<std::string> violations_;
 };
 
-/// One gateway as a process of its own, before proxies of the store.
+/// A gateway that runs as a separate process and reaches the store through a proxy.
 class GatewayProcess
 {
 public:
-    /// @param program Path of the program.
+    /// @param program Path of the gateway's program.
+    /// @param folder Folder for its settings and its log.
     GatewayProcess(std::string program, const std::string &folder, int number,
                    const Endpoint &store);
     ~GatewayProcess();
@@ -49,13 +51,13 @@
     bool running() const { return pid_ > 0; }
     void start();
     void signal(int number) const;
-    /// Kills it at once and waits until it is gone.
+    /// Sends SIGKILL and waits until the process has ended.
     void kill();
-    /// Asks it to stop and waits.
-    /// @return Whether it ended by itself in time.
+    /// Sends SIGTERM and waits up to 7 s for the process to end, then kills it.
+    /// @return Whether it exited in time with status 0.
     bool stop();
-    /// Whether it ended although nobody asked it to.
-    bool endedByItself();
+    /// Whether it ended without a call of kill() or stop().
+    bool exitedUnexpectedly();
 
 private:
     std::string program_;
@@ -66,30 +68,33 @@
     pid_t pid_ = -1;
 };
 
-/// What a backend server in need says in its answers.
-enum class Need {
+/// Signal that a backend server sends in its answers.
+enum class ServerSignal {
     None,
-    Limit, ///< It names a limit for all gateways together.
-    Rest, ///< It turns requests away and asks for rest.
+    Limit, ///< It advertises a limit for all gateways together.
+    Backoff, ///< It refuses requests with a Retry-After header.
 };
 
-/// Backend servers, the store, proxies before each of them, and gateways.
+/// Backend servers and the store, each behind a fault proxy, and the gateways.
 class Fleet
 {
 public:
     Fleet(const std::string &program, const std::string &folder, int gatewayCount);
 
-    RunBook &book() { return book_; }
+    RunRecorder &recorder() { return recorder_; }
     std::vector<std::unique_ptr<GatewayProcess>> &gateways() { return gateways_; }
     std::vector<std::unique_ptr<FaultProxy>> &serverLinks() { return serverLinks_; }
     FaultProxy &storeLink() { return *storeLink_; }
     gateway_tests::StoreStandIn &store() { return store_; }
-    /// Publishes a version; the key "spare" is in it or not.
+    /// Publishes a new configuration version, with or without the organisation "spare".
     void publish(bool withSpareKey);
-    /// Whether the backend servers crash every few streams.
+    /// Sets whether the backend servers abort some of the streams.
     void setCrashing(bool crashing) { crashing_ = crashing; }
-    void setNeed(std::size_t server, Need need) { needs_.at(server) = need; }
-    /// A server says that it leaves, or comes back.
+    void setSignal(std::size_t server, ServerSignal serverSignal)
+    {
+        signals_.at(server) = serverSignal;
+    }
+    /// Writes a server's entry in the store as draining or ready.
     void report(std::size_t server, bool draining);
 
 private:
@@ -98,8 +103,8 @@
     void stream(const gateway_tests::SeenRequest &request, const std::string &fields,
                 gateway_tests::ScriptPeer &peer);
 
-    RunBook book_;
-    std::array<std::atomic<Need>, 4> needs_{};
+    RunRecorder recorder_;
+    std::array<std::atomic<ServerSignal>, 4> signals_{};
     std::atomic<bool> crashing_ = false;
     std::atomic<unsigned> streams_ = 0;
     int version_ = 0;
--- a/Tests/Soak/SoakMain.cpp
+++ b/Tests/Soak/SoakMain.cpp
@@ -1,6 +1,6 @@
-// A randomized soak of gateways as real processes: callers, backend servers, the store and the
-// links between them live here, and faults are brought upon them from a seed. Ends with 0 when no
-// promise was broken, and else says what was broken, under which seed and after which faults.
+// A randomized soak test of gateway processes. Callers, backend servers, the store and the proxies
+// between them run in this process, and faults are injected by seed. Exits with 0 if no guarantee
+// was violated; otherwise prints the violations with their seed and the faults before them.
 
 #include <algorithm>
 #include <csignal>
@@ -22,12 +22,12 @@
 
 constexpr int gatewayCount = 2;
 constexpr int clientCount = 12;
-/// After the last fault: connections that were silent are given up and gateways know the store
-/// again.
+/// Time after the last fault until gateways have dropped unresponsive connections and reconnected
+/// to the store.
 constexpr milliseconds recoveryTime{5000};
-constexpr milliseconds provingTime{1500};
-/// Share of requests that must be answered whole once everything has recovered.
-constexpr double leastServed = 0.97;
+constexpr milliseconds verificationTime{1500};
+/// Fraction of requests that must get a complete answer after recovery.
+constexpr double minServedFraction = 0.97;
 
 struct SoakPlan
 {
@@ -36,7 +36,7 @@
     seconds length{10};
 };
 
-void pauseFor(milliseconds time)
+void sleepFor(milliseconds time)
 {
     ::poll(nullptr, 0, static_cast<int>(time.count()));
 }
@@ -52,33 +52,35 @@
             all = all && gateway->ready();
         if (all)
             return true;
-        pauseFor(milliseconds(25));
+        sleepFor(milliseconds(25));
     }
     return false;
 }
 
-void checkRefused(Fleet &fleet, const SoakClients &clients)
+void checkRefusedRequests(Fleet &fleet, const SoakClients &clients)
 {
     for (const std::string &id : clients.refusedIds()) {
-        if (id.starts_with("once") && fleet.book().runs(id) > 0)
-            fleet.book().noteBroken(id + " was told not to have run, and ran");
+        if (id.starts_with("once") && fleet.recorder().runs(id) > 0)
+            fleet.recorder().noteViolation(
+                id + " ran although its answer said that it was not executed");
     }
 }
 
 void stopAll(Fleet &fleet)
 {
     for (auto &gateway : fleet.gateways()) {
-        if (gateway->endedByItself())
-            fleet.book().noteBroken("a gateway ended although nobody asked it to");
+        if (gateway->exitedUnexpectedly())
+            fleet.recorder().noteViolation("a gateway exited unexpectedly");
         else if (gateway->running() && !gateway->stop())
-            fleet.book().noteBroken("a gateway did not end in order after SIGTERM");
+            fleet.recorder().noteViolation("a gateway did not shut down cleanly after SIGTERM");
     }
 }
 
-/// @return Whether every promise was kept.
-bool keepsPromises(const SoakPlan &plan, std::uint64_t seed)
+/// Runs the soak with one seed and prints its result.
+/// @return Whether no guarantee was violated.
+bool runSeed(const SoakPlan &plan, std::uint64_t seed)
 {
-    std::vector<std::string> told;
+    std::vector<std::string> faultLog;
     const std::string folder = plan.folder + "/seed-" + std::to_string(seed);
     std::filesystem::create_directories(folder);
     Fleet fleet(plan.program, folder, gatewayCount);
@@ -88,43 +90,46 @@
     }
     const TimePoint begun = monotonicNow();
     SoakFaults faults(fleet, seed, [&](const std::string &what) {
-        told.push_back(std::to_string(remaining(begun, monotonicNow()).count()) + " ms " + what);
+        faultLog.push_back(std::to_string(remaining(begun, monotonicNow()).count()) + " ms "
+                           + what);
     });
     SoakClients clients(fleet, clientCount);
     while (monotonicNow() - begun < plan.length) {
-        faults.work(monotonicNow());
-        pauseFor(milliseconds(10));
+        faults.advance(monotonicNow());
+        sleepFor(milliseconds(10));
     }
-    faults.heal();
-    const SoakCounts troubled = clients.takeCounts();
-    pauseFor(recoveryTime);
+    faults.endAll();
+    const SoakCounts underFaults = clients.takeCounts();
+    sleepFor(recoveryTime);
     clients.takeCounts();
-    pauseFor(provingTime);
-    const SoakCounts proved = clients.takeCounts();
+    sleepFor(verificationTime);
+    const SoakCounts afterRecovery = clients.takeCounts();
     clients.stop();
-    const double served = static_cast<double>(proved.whole)
-        / static_cast<double>(std::max<std::size_t>(1, proved.asked));
-    if (served < leastServed)
-        fleet.book().noteBroken("after recovery " + std::to_string(proved.whole) + " of "
-                                + std::to_string(proved.asked) + " were served");
-    checkRefused(fleet, clients);
+    const double servedFraction = static_cast<double>(afterRecovery.complete)
+        / static_cast<double>(std::max<std::size_t>(1, afterRecovery.sent));
+    if (servedFraction < minServedFraction)
+        fleet.recorder().noteViolation("after recovery " + std::to_string(afterRecovery.complete)
+                                       + " of " + std::to_string(afterRecovery.sent)
+                                       + " requests got a complete answer");
+    checkRefusedRequests(fleet, clients);
     stopAll(fleet);
-    const std::vector<std::string> broken = fleet.book().broken();
-    std::cout << "seed " << seed << ": " << told.size() << " faults; " << troubled.asked
-              << " requests under faults, " << troubled.whole << " whole, " << troubled.refused
-              << " refused, " << troubled.failed << " failed, " << troubled.cut
-              << " cut; afterwards " << proved.whole << " of " << proved.asked << " whole; "
-              << broken.size() << " broken" << std::endl;
-    for (const std::string &what : broken)
-        std::cout << "  broken: " << what << '\n';
-    if (!broken.empty()) {
-        for (const std::string &fault : told)
+    const std::vector<std::string> violations = fleet.recorder().violations();
+    std::cout << "seed " << seed << ": " << faultLog.size() << " faults; " << underFaults.sent
+              << " requests under faults, " << underFaults.complete << " complete, "
+              << underFaults.refused << " refused, " << underFaults.failed << " failed, "
+              << underFaults.truncated << " truncated; after recovery " << afterRecovery.complete
+              << " of " << afterRecovery.sent << " complete; " << violations.size() << " violations"
+              << std::endl;
+    for (const std::string &what : violations)
+        std::cout << "  violation: " << what << '\n';
+    if (!violations.empty()) {
+        for (const std::string &fault : faultLog)
             std::cout << "  " << fault << '\n';
-        std::cout << "  lines of the gateways: " << folder << std::endl;
+        std::cout << "  logs of the gateways: " << folder << std::endl;
     } else {
         std::filesystem::remove_all(folder);
     }
-    return broken.empty();
+    return violations.empty();
 }
 
 } // namespace
@@ -132,22 +137,22 @@
 int main(int argc, char **argv)
 {
     ::signal(SIGPIPE, SIG_IGN);
-    TCLAP::CmdLine line("Runs gateways under random faults and checks what callers and backend "
-                        "servers see.",
+    TCLAP::CmdLine line("Runs gateways under random faults and checks the guarantees to callers "
+                        "and backend servers.",
                         ' ', "0.2.0");
-    TCLAP::ValueArg<std::string> program("", "program", "The gateway's program", true, "", "path",
-                                         line);
-    TCLAP::ValueArg<std::string> folder("", "folder", "Where lines of broken seeds stay", false,
-                                        "/tmp/wisteria-soak", "path", line);
+    TCLAP::ValueArg<std::string> program("", "program", "Path of the gateway program", true, "",
+                                         "path", line);
+    TCLAP::ValueArg<std::string> folder("", "folder", "Folder that keeps the logs of failed seeds",
+                                        false, "/tmp/wisteria-soak", "path", line);
     TCLAP::ValueArg<std::uint64_t> seed("", "seed", "First seed", false, 1, "number", line);
-    TCLAP::ValueArg<int> seeds("", "seeds", "How many seeds", false, 1, "number", line);
-    TCLAP::ValueArg<int> length("", "seconds", "How long faults go on, each seed", false, 10,
+    TCLAP::ValueArg<int> seeds("", "seeds", "Number of seeds", false, 1, "number", line);
+    TCLAP::ValueArg<int> length("", "seconds", "Duration of faults for each seed", false, 10,
                                 "number", line);
     line.parse(argc, argv);
     const SoakPlan plan{program.getValue(), folder.getValue(), seconds(length.getValue())};
     int failed = 0;
     for (int i = 0; i < seeds.getValue(); ++i) {
-        if (!keepsPromises(plan, seed.getValue() + static_cast<std::uint64_t>(i)))
+        if (!runSeed(plan, seed.getValue() + static_cast<std::uint64_t>(i)))
             ++failed;
     }
     std::cout << seeds.getValue() - failed << " passed, " << failed << " failed" << std::endl;
--- a/Utilities/CMake/WisteriaTargets.cmake
+++ b/Utilities/CMake/WisteriaTargets.cmake
@@ -1,6 +1,6 @@
-# Functions that every target of the project is declared with.
+# Functions that declare the targets of the project.
 
-# The properties that all hand-written targets share.
+# Common properties of all hand-written targets.
 add_library(WisteriaOptions INTERFACE)
 target_compile_features(WisteriaOptions INTERFACE cxx_std_20)
 target_compile_options(WisteriaOptions INTERFACE -Wall -Wextra -Wnon-virtual-dtor -Wshadow)
--- a/Utilities/local-system.sh
+++ b/Utilities/local-system.sh
@@ -1,7 +1,7 @@
-# Starts a whole system on loopback with free ports, for scripts that source this file.
+# Functions that start a whole system on loopback with free ports; other scripts source this file.
 #
-# Set WISTERIA_PROGRAMS to the folder of built programs first. Everything is ended by process id,
-# and the temporary folder removed, when the sourcing script exits.
+# Set WISTERIA_PROGRAMS to the folder of built programs first. When the sourcing script exits, all
+# processes are ended by process id and the temporary folder is removed.
 
 system_folder="$(mktemp -d)"
 system_pids=()
@@ -16,8 +16,8 @@
 }
 trap end_system EXIT
 
-# start_process NAME PROGRAM [ARGUMENT...]: waits for the program's "ready" line. Words in the
-# array system_wrapper go before the program, for a profiler.
+# start_process NAME PROGRAM [ARGUMENT...]: starts a program and waits for its "ready" line. The
+# array system_wrapper is a command prefix, such as a profiler.
 system_wrapper=()
 start_process() {
   local name="$1" program="$2" output line=""
@@ -26,19 +26,19 @@
   system_pid[$name]=$!
   system_pids+=("$!")
   if ! read -r -t 60 line <&"$output"; then
-    echo "$name did not become ready; its log says:" >&2
+    echo "$name did not become ready; its log:" >&2
     cat "$system_folder/$name.log" >&2
     exit 1
   fi
   system_ready[$name]="$line"
 }
 
-# address_of NAME WORD: the address that the process's ready line gives for a word.
+# address_of NAME KEY: prints the address that the process's ready line has for a key.
 address_of() {
   sed -n "s/.*\\b$2=\\([^ ]*\\).*/\\1/p" <<< "${system_ready[$1]}"
 }
 
-# stop_process NAME: asks it to end and waits for it.
+# stop_process NAME: sends SIGTERM and waits for the process to end.
 stop_process() {
   kill "${system_pid[$1]}"
   wait "${system_pid[$1]}" 2> /dev/null || true
@@ -49,13 +49,13 @@
   start_process vms standin-vms
 }
 
-# start_backend NAME DOMAIN: a backend server and the agent beside it.
+# start_backend NAME DOMAIN: starts a backend server and its agent.
 start_backend() {
   start_process "$1" standin-backend --name "$1"
   start_agent "$1" "$2"
 }
 
-# start_agent NAME DOMAIN: the agent of a backend server that runs.
+# start_agent NAME DOMAIN: starts the agent of a running backend server.
 start_agent() {
   cat > "$system_folder/agent-$1.json" << END
 {
@@ -71,7 +71,7 @@
   start_process "agent-$1" wisteria-agent --settings "$system_folder/agent-$1.json"
 }
 
-# start_entry NAME DOMAIN [THREADS]
+# start_entry NAME DOMAIN [THREADS]: starts an entry, with 2 traffic threads by default.
 start_entry() {
   cat > "$system_folder/$1.json" << END
 {
@@ -86,11 +86,11 @@
   start_process "$1" wisteria-entry --settings "$system_folder/$1.json"
 }
 
-# start_admin NAME; afterwards control asks it.
+# start_admin NAME: starts an admin; `control` then sends its commands to it.
 start_admin() {
   cat > "$system_folder/$1.json" << END
 {
-  // An admin that lists no operators takes their word for who they are: for a trial only.
+  // An admin without a list of operators does not authenticate them: for tests only.
   "name": "$1",
   "listen": "127.0.0.1:0",
   "metrics_listen": "127.0.0.1:0",
@@ -102,7 +102,7 @@
   export WISTERIA_ADMIN
 }
 
-# apply_trial_configuration SERVICE CONCURRENCY BACKEND...: one service without tight limits.
+# apply_trial_configuration SERVICE CONCURRENCY BACKEND...: applies one service with high limits.
 apply_trial_configuration() {
   local service="$1" concurrency="$2" lines=() name
   shift 2
@@ -120,18 +120,18 @@
   control apply "$system_folder/configuration.json" --who bench --why "trial configuration"
 }
 
-# control COMMAND...: wisteriactl against the admin.
+# control COMMAND...: runs wisteriactl for the admin.
 control() {
   "$WISTERIA_PROGRAMS/wisteriactl" "$@"
 }
 
-# backend_line NAME SERVICE DOMAIN CONCURRENCY: its entry for a configuration file.
+# backend_line NAME SERVICE DOMAIN CONCURRENCY: prints the server's entry for a configuration file.
 backend_line() {
   printf '{"name": "%s", "service": "%s", "agent_address": "%s", "failure_domain": "%s", "vm": "vm-%s", "concurrency": %s}' \
     "$1" "$2" "$(address_of "agent-$1" peer)" "$3" "$1" "$4"
 }
 
-# new_key: an idempotency key, a UUID of version 7.
+# new_key: prints a new idempotency key, a UUID of version 7.
 new_key() {
   local time random
   time="$(printf '%012x' "$(date +%s%3N)")"
