--- a/Source/Process/BackendHealth.cpp
+++ b/Source/Process/BackendHealth.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-bool shouldCheckAfterLoss(HealthCheckState &state)
+bool noteLossDuringCheck(HealthCheckState &state)
 {
     state.connectionLost = state.inProgress;
     return !state.inProgress;
@@ -66,7 +66,7 @@
 
 void BackendHealth::noteConnectionLost()
 {
-    if (shouldCheckAfterLoss(checkState_))
+    if (noteLossDuringCheck(checkState_))
         check();
 }
 
--- a/Source/Process/BackendHealth.h
+++ b/Source/Process/BackendHealth.h
@@ -23,27 +23,28 @@
     bool connectionLost = false;
 };
 
-/// Records that the connection of a run was lost; a check has to find the cause.
-/// @return Whether to start a check now.
-bool shouldCheckAfterLoss(HealthCheckState &state);
+/// Records that the connection of a run was lost. A check in progress may then be out of date.
+/// @return True if no check is in progress, so that one has to be started.
+bool noteLossDuringCheck(HealthCheckState &state);
 
 /// Records the end of a check.
-/// @return The condition, or nothing if another check has to be started: if a check began before a
-/// connection was lost, the backend server may have answered it before it died.
+/// @return The condition, or nothing if another check has to be started: if the check succeeded but
+/// began before a connection was lost, the backend server may have answered before it died.
 std::optional<BackendCondition> finishCheck(HealthCheckState &state, BackendCallEnd end);
 
 /// Checks the health of the backend server periodically, on the agent's traffic loop.
 class BackendHealth
 {
 public:
-    /// @param onCondition Called with the result of each check that is not out of date.
+    /// @param onCondition Called with each condition that finishCheck() returns.
     BackendHealth(EventLoop &loop, BackendClient &backend,
                   std::function<void(BackendCondition)> onCondition);
 
     /// Starts periodic checks; they continue until the loop stops.
     void start();
 
-    /// Starts a check now, because the connection of a run was lost.
+    /// Call this when the connection of a run was lost. Starts a check, or repeats the check in
+    /// progress if that one succeeds.
     void noteConnectionLost();
 
 private:
--- a/Source/Process/EventLoop.cpp
+++ b/Source/Process/EventLoop.cpp
@@ -124,6 +124,7 @@
         return 0;
     }
 
+    /// Called by the reactor after notify(): runs the posted tasks.
     int handle_exception(ACE_HANDLE) override
     {
         std::deque<Task> tasks;
--- a/Tests/Soak/SoakClients.cpp
+++ b/Tests/Soak/SoakClients.cpp
@@ -13,6 +13,7 @@
 
 constexpr int events = 8;
 constexpr int pauseMilliseconds = 15;
+/// Routes of the fleet: "once" is not idempotent, "again" is idempotent.
 const std::array<std::string, 3> kinds = {"once", "again", "stream"};
 
 std::string requestFor(const std::string &kind, const std::string &id)
--- a/Tests/Soak/SoakClients.h
+++ b/Tests/Soak/SoakClients.h
@@ -16,10 +16,10 @@
 struct SoakCounts
 {
     std::size_t sent = 0;
-    std::size_t complete = 0;
-    std::size_t refused = 0;
-    std::size_t failed = 0;
-    std::size_t truncated = 0;
+    std::size_t complete = 0; ///< 2xx with the whole body.
+    std::size_t refused = 0; ///< 503.
+    std::size_t failed = 0; ///< Other 5xx.
+    std::size_t truncated = 0; ///< Incomplete or without an answer.
 };
 
 /// Callers that send all kinds of requests to all gateways and check each answer.
--- a/Tests/Soak/SoakFaults.cpp
+++ b/Tests/Soak/SoakFaults.cpp
@@ -75,7 +75,7 @@
         injectGatewayFault(now);
         return;
     default:
-        startPlannedEvent(now);
+        injectOperationalEvent(now);
         return;
     }
 }
@@ -159,7 +159,7 @@
     scheduleEnd(now + length, [this, server] { fleet_.setSignal(server, ServerSignal::None); });
 }
 
-void SoakFaults::startPlannedEvent(TimePoint now)
+void SoakFaults::injectOperationalEvent(TimePoint now)
 {
     const milliseconds length = randomDuration(300, 2000);
     const std::size_t server = randomBelow(fleet_.serverLinks().size());
@@ -172,8 +172,8 @@
     }
     case 1:
         log_("server-" + std::to_string(server) + " drains for a while");
-        fleet_.report(server, true);
-        scheduleEnd(now + length, [this, server] { fleet_.report(server, false); });
+        fleet_.setDraining(server, true);
+        scheduleEnd(now + length, [this, server] { fleet_.setDraining(server, false); });
         return;
     case 2:
         log_("a new configuration is published");
@@ -181,8 +181,8 @@
         return;
     default:
         log_("backend servers abort streams for a while");
-        fleet_.setCrashing(true);
-        scheduleEnd(now + length, [this] { fleet_.setCrashing(false); });
+        fleet_.setAbortingStreams(true);
+        scheduleEnd(now + length, [this] { fleet_.setAbortingStreams(false); });
         return;
     }
 }
--- a/Tests/Soak/SoakFaults.h
+++ b/Tests/Soak/SoakFaults.h
@@ -9,7 +9,8 @@
 
 namespace wisteria::soak {
 
-/// Injects random faults into a fleet, reproducibly by seed. Faults may overlap.
+/// Injects random faults into a fleet, generated from a seed. Faults may overlap. The sequence also
+/// depends on the timing of the run.
 class SoakFaults
 {
 public:
@@ -35,7 +36,7 @@
     void injectServerLinkFault(TimePoint now);
     void injectStoreFault(TimePoint now);
     void injectGatewayFault(TimePoint now);
-    void startPlannedEvent(TimePoint now);
+    void injectOperationalEvent(TimePoint now);
     void startServerSignal(TimePoint now);
     void scheduleEnd(TimePoint at, std::function<void()> end);
 
--- a/Tests/Soak/SoakFleet.cpp
+++ b/Tests/Soak/SoakFleet.cpp
@@ -19,8 +19,8 @@
 
 constexpr int events = 8;
 constexpr int eventMilliseconds = 25;
-/// One in this many streams is aborted while servers crash.
-constexpr unsigned crashEvery = 3;
+/// One in this many streams is reset while the servers abort streams.
+constexpr unsigned abortEvery = 3;
 const std::string seal = "Wisteriawind-Response-Seal: soak\r\n";
 
 std::uint16_t freePort()
@@ -179,7 +179,7 @@
         servers_.push_back(std::make_unique<ScriptedServer>(
             [this, i](const SeenRequest &request, ScriptPeer &peer) { answer(i, request, peer); }));
         serverLinks_.push_back(std::make_unique<FaultProxy>(servers_.back()->endpoint()));
-        report(servers_.size() - 1, false);
+        setDraining(servers_.size() - 1, false);
     }
     publish(true);
     storeLink_ = std::make_unique<FaultProxy>(store_.endpoint());
@@ -188,10 +188,10 @@
             std::make_unique<GatewayProcess>(program, folder, i, storeLink_->endpoint()));
 }
 
-void Fleet::publish(bool withSpareKey)
+void Fleet::publish(bool withSpareOrganisation)
 {
     nlohmann::json organisations = {{{"name", "acme"}, {"api_keys", {"key1"}}}};
-    if (withSpareKey)
+    if (withSpareOrganisation)
         organisations.push_back({{"name", "spare"}, {"api_keys", {"key2"}}});
     store_.put("keyed.op", "config",
                {{"version", ++version_},
@@ -202,7 +202,7 @@
                 {"tenants", organisations}});
 }
 
-void Fleet::report(std::size_t server, bool draining)
+void Fleet::setDraining(std::size_t server, bool draining)
 {
     store_.put("keyed.servers", "server-" + std::to_string(server),
                {{"service", "all"},
@@ -240,13 +240,13 @@
 {
     const std::string id = request.header("Wisteriawind-Attempt-Id");
     const std::string last = request.header("Last-Event-Id");
-    const bool crashes = crashing_ && ++streams_ % crashEvery == 0;
+    const bool aborts = abortingStreams_ && ++streams_ % abortEvery == 0;
     peer.send("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n" + fields
               + "Transfer-Encoding: chunked\r\n\r\n");
     for (int event = last.empty() ? 1 : std::stoi(last) + 1; event <= events; ++event) {
         const std::string text =
             "id: " + std::to_string(event) + "\ndata: " + id + "/" + std::to_string(event);
-        if (crashes && event > events / 2) {
+        if (aborts && event > events / 2) {
             peer.send(chunk(text));
             peer.reset();
             return;
--- a/Tests/Soak/SoakFleet.h
+++ b/Tests/Soak/SoakFleet.h
@@ -87,15 +87,15 @@
     FaultProxy &storeLink() { return *storeLink_; }
     gateway_tests::StoreStandIn &store() { return store_; }
     /// Publishes a new configuration version, with or without the organisation "spare".
-    void publish(bool withSpareKey);
+    void publish(bool withSpareOrganisation);
     /// Sets whether the backend servers abort some of the streams.
-    void setCrashing(bool crashing) { crashing_ = crashing; }
+    void setAbortingStreams(bool aborting) { abortingStreams_ = aborting; }
     void setSignal(std::size_t server, ServerSignal serverSignal)
     {
         signals_.at(server) = serverSignal;
     }
-    /// Writes a server's entry in the store as draining or ready.
-    void report(std::size_t server, bool draining);
+    /// Writes a server's record in the store as draining or ready.
+    void setDraining(std::size_t server, bool draining);
 
 private:
     void answer(std::size_t server, const gateway_tests::SeenRequest &request,
@@ -105,7 +105,7 @@
 
     RunRecorder recorder_;
     std::array<std::atomic<ServerSignal>, 4> signals_{};
-    std::atomic<bool> crashing_ = false;
+    std::atomic<bool> abortingStreams_ = false;
     std::atomic<unsigned> streams_ = 0;
     int version_ = 0;
     gateway_tests::StoreStandIn store_;
--- a/Tests/Soak/SoakMain.cpp
+++ b/Tests/Soak/SoakMain.cpp
@@ -1,6 +1,6 @@
 // A randomized soak test of gateway processes. Callers, backend servers, the store and the proxies
 // between them run in this process, and faults are injected by seed. Exits with 0 if no guarantee
-// was violated; otherwise prints the violations with their seed and the faults before them.
+// was violated; otherwise prints for each failed seed its violations and its faults.
 
 #include <algorithm>
 #include <csignal>
