--- a/Source/Request/EntryRequest.h
+++ b/Source/Request/EntryRequest.h
@@ -72,7 +72,7 @@
                        const v1::AgentFrame &frame, TimePoint now);
 
 /// Whether the answer that the end frame closes arrived completely. Every chunk frame must have
-/// been passed to attemptVerdict().
+/// been passed to applyFrame().
 bool isAnswerComplete(const RequestState &request, const v1::AnswerEnd &end);
 
 /// Retries or ends the request after the attempt's stream or connection failed before a verdict.
