--- a/Source/Process/ConfigArchive.h
+++ b/Source/Process/ConfigArchive.h
@@ -5,12 +5,14 @@
 
 namespace wisteria {
 
-/// Replays the whole configuration stream as far as the log still holds it and tells each change.
-/// @return Oldest offset that the log holds; otherwise as LogClient::read().
-Result<Offset> readHistory(LogClient &log, const std::function<void(HistoryItem)> &tell);
+/// Calls `onChange` with each change that can be replayed from the log: all that it holds, or, if
+/// its oldest records have expired, those after the `as_of` of the first usable snapshot.
+/// @return Oldest offset that the log holds; errors as LogClient::read() and replayBatch().
+Result<Offset> readHistory(LogClient &log, const std::function<void(HistoryItem)> &onChange);
 
-/// The configuration as it was at a version.
-/// @return NotFound when the version is not among the changes that the log still holds.
+/// Returns the configuration as it was at a version.
+/// @return NotFound if the version can't be replayed from the records and snapshots that the log
+/// still holds.
 Result<ConfigState> readStateAt(LogClient &log, Offset version);
 
 } // namespace wisteria
--- a/Source/Process/ConfigFollower.cpp
+++ b/Source/Process/ConfigFollower.cpp
@@ -19,8 +19,8 @@
 
     Result<bool> poll(milliseconds wait)
     {
-        // While records are known to stand there, or nothing was read yet, there is no point in a
-        // wait; an empty log would otherwise hold up a start.
+        // Waits only if the log is known to hold no further records. The first read does not wait,
+        // because an empty log would otherwise delay the start of the process.
         const bool atEnd = cursor_.endAtStart && nextOffset(cursor_) >= cursor_.end;
         auto batch = log_.read(stream_, nextOffset(cursor_), atEnd ? wait : milliseconds(0));
         if (!batch) {
@@ -28,16 +28,16 @@
             return batch.as_failure();
         }
         const bool divergedBefore = cursor_.diverged;
-        auto moved = replayBatch(cursor_, batch.value());
+        auto versionChanged = replayBatch(cursor_, batch.value());
         if (cursor_.diverged && !divergedBefore)
             logger_->error("a snapshot in the log differs from what replay gave; compare releases");
         publish(true);
-        // Failure guarded against: a record that can't be judged stays the next one to read, and
-        // the log has it ready at once; a caller without a pause would read it in a loop at full
-        // speed. As an error, callers pause before the next try.
-        if (moved && !cursor_.blocked.empty())
+        // A record that can't be replayed stays the next one to read, and the log returns it
+        // immediately, so a caller without a delay would read it in a busy loop. The error makes
+        // callers wait before they retry.
+        if (versionChanged && !cursor_.blocked.empty())
             return failure(ErrorKind::Conflict, cursor_.blocked);
-        return moved;
+        return versionChanged;
     }
 
     bool adopt(const v1::SnapshotRecord &snapshot)
@@ -72,7 +72,7 @@
     bool usable() const
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        return wasCaughtUp_ || (adoptedPublished_ && !status_.logReachable);
+        return everCaughtUp_ || (adoptedPublished_ && !status_.logReachable);
     }
 
     std::shared_ptr<const ConfigState> waitBeyond(Offset position, milliseconds limit) const
@@ -83,19 +83,19 @@
     }
 
 private:
-    /// Copying the whole state costs milliseconds at thousands of objects, so it is done once a
-    /// poll and only when something was replayed.
+    /// Makes the state available to other threads. A copy of the whole state takes milliseconds at
+    /// thousands of objects, so it is made only if the position changed.
     void publish(bool reachable)
     {
-        std::shared_ptr<const ConfigState> fresh;
+        std::shared_ptr<const ConfigState> stateCopy;
         if (!published_ || published_->position != cursor_.state.position)
-            fresh = std::make_shared<const ConfigState>(cursor_.state);
+            stateCopy = std::make_shared<const ConfigState>(cursor_.state);
         const std::lock_guard<std::mutex> lock(mutex_);
-        if (fresh)
-            published_ = std::move(fresh);
+        if (stateCopy)
+            published_ = std::move(stateCopy);
         publishedChanged_.notify_all();
         caughtUp_ = hasCaughtUp(cursor_);
-        wasCaughtUp_ |= caughtUp_;
+        everCaughtUp_ |= caughtUp_;
         adoptedPublished_ = adopted_;
         status_ = {cursor_.state.version, cursor_.state.position, cursor_.end,           reachable,
                    cursor_.blocked,       cursor_.diverged,       cursor_.newestSnapshot};
@@ -112,7 +112,7 @@
     std::shared_ptr<const ConfigState> published_;
     FollowerStatus status_;
     bool caughtUp_ = false;
-    bool wasCaughtUp_ = false;
+    bool everCaughtUp_ = false;
     bool adoptedPublished_ = false;
 };
 
--- a/Source/Request/EntryRequest.cpp
+++ b/Source/Request/EntryRequest.cpp
@@ -19,16 +19,16 @@
     return findCandidate(state, request.request.service, request.backendServer);
 }
 
-/// Gives back what the request holds of what the entry's requests share.
+/// Removes the request from the suspects in flight and from its organisation's concurrency.
 void releaseShared(EntryShared &shared, RequestState &request)
 {
     const Lock lock(shared.mutex);
     if (request.holdsSuspect)
         shared.suspectsInFlight.erase(request.request.fingerprint);
-    if (request.admitted)
+    if (request.countedInLimits)
         release(shared.limits, request.request.organisation);
     request.holdsSuspect = false;
-    request.admitted = false;
+    request.countedInLimits = false;
 }
 
 void endAttempt(EntryState &state, RequestState &request, bool failed, TimePoint now)
@@ -37,7 +37,7 @@
         return;
     request.outstanding = false;
     if (Candidate *candidate = candidateOf(state, request))
-        attemptOver(*candidate, failed, now);
+        attemptEnded(*candidate, failed, now);
 }
 
 Refusal refuse(EntryShared &shared, RequestState &request, EndKind end, v1::Reason reason,
@@ -48,8 +48,8 @@
     return {end, reason, retryAfter};
 }
 
-/// The end of a request whose newest attempt surely did not run. An earlier attempt, or an earlier
-/// try of the same key through another entry, may have run all the same.
+/// The end of a request whose last attempt certainly did not run. An earlier attempt, or an earlier
+/// try of the same key through another entry, may have run nevertheless.
 EndKind endWithoutRun(const EntryState &state, const RequestState &request)
 {
     if (request.mayHaveRun && state.guards.rememberMayHaveRun)
@@ -61,13 +61,14 @@
     return EndKind::NotRun;
 }
 
-Refusal refuseNotRun(const EntryState &state, EntryShared &shared, RequestState &request,
-                     v1::Reason reason, milliseconds retryAfter)
+/// Ends the request as NotRun if that is proved for all attempts, otherwise as OutcomeUnknown.
+Refusal refuseRequest(const EntryState &state, EntryShared &shared, RequestState &request,
+                      v1::Reason reason, milliseconds retryAfter)
 {
     return refuse(shared, request, endWithoutRun(state, request), reason, retryAfter);
 }
 
-Suspicion suspicionNow(EntryShared &shared, const RequestState &request, TimePoint now)
+Suspicion currentSuspicion(EntryShared &shared, const RequestState &request, TimePoint now)
 {
     const Lock lock(shared.mutex);
     const Suspicion suspicion = suspicionOf(shared.suspects, request.request.fingerprint, now);
@@ -110,9 +111,10 @@
     return SendAttempt{backendServer, address, headOf(state, request, now)};
 }
 
-/// Whether this entry may let a suspect through to the home of its key. Homes differ from key to
-/// key, so unlike others these suspects have no one place where their standing is known: one entry
-/// alone lets them through, one at a time, and so learns of a death before the next.
+/// Whether this entry may send a suspect to the owner of its key; if so, marks it as in flight.
+/// Owners differ from key to key, so no single agent knows whether the fingerprint is quarantined.
+/// Therefore only one entry sends these suspects, one at a time, and so detects a death before it
+/// sends the next.
 bool maySendSuspectToOwner(const EntryState &state, EntryShared &shared, RequestState &request)
 {
     const std::uint64_t fingerprint = request.request.fingerprint;
@@ -124,28 +126,29 @@
     return request.holdsSuspect;
 }
 
-/// Sends a non-idempotent request to the home of its key, and to no other backend server.
+/// Sends a non-idempotent request to the owner of its key, and to no other backend server.
 EntryAction sendToOwner(EntryState &state, EntryShared &shared, RequestState &request,
                         const ServiceView &service, TimePoint now)
 {
     const auto owner =
         rendezvousChoice(canonicalKey(request.request.key), service.declared->ownerNames);
     if (!owner)
-        return refuseNotRun(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
+        return refuseRequest(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
     const Candidate *candidate = candidateNamed(service, *owner);
-    // Silence alone may be a long request; nobody else can take this one, so only failures count.
+    // Silence may just mean a long request. Only the owner can run this one, so a silent owner is
+    // used; it is excluded only if it is down, draining or ejected.
     if (candidate && (!isAvailable(*candidate) || now < candidate->ejectedUntil)) {
         const auto reason = candidate->leaving ? v1::REASON_LEAVING : v1::REASON_BACKEND_DOWN;
-        return refuseNotRun(state, shared, request, reason, longRetry);
+        return refuseRequest(state, shared, request, reason, longRetry);
     }
     if (request.runAlone && !maySendSuspectToOwner(state, shared, request))
-        return refuseNotRun(state, shared, request, v1::REASON_SUSPECT, longRetry);
+        return refuseRequest(state, shared, request, v1::REASON_SUSPECT, longRetry);
     return sendTo(state, request, *owner, service.declared->ownerAddresses.at(*owner), now);
 }
 
-/// The backend server on which a suspect runs alone. All entries choose the same one, also while
-/// it is down for a moment: there the agent learns who the killer is and tells whoever comes next.
-/// Choosing another one at once would let each entry take down a backend server of its own.
+/// The backend server on which a suspect runs alone. All entries choose the same one, even while it
+/// is down briefly: its agent detects which request crashes it and reports that to later attempts.
+/// Choosing another one at once would let each entry crash a different backend server.
 std::optional<std::string> designatedFor(const ServiceView &service, std::uint64_t fingerprint,
                                          TimePoint now)
 {
@@ -165,10 +168,10 @@
 {
     const auto chosen = designatedFor(service, request.request.fingerprint, now);
     if (!chosen)
-        return refuseNotRun(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
+        return refuseRequest(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
     const Candidate *candidate = candidateNamed(service, *chosen);
     if (candidate && !isAvailable(*candidate))
-        return refuseNotRun(state, shared, request, v1::REASON_SUSPECT, longRetry);
+        return refuseRequest(state, shared, request, v1::REASON_SUSPECT, longRetry);
     return sendTo(state, request, *chosen, service.declared->ownerAddresses.at(*chosen), now);
 }
 
@@ -180,12 +183,12 @@
     const auto chosen =
         chooseBackendServer(service.candidates, service.declared->policy, query, now);
     if (!chosen)
-        return refuseNotRun(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
+        return refuseRequest(state, shared, request, v1::REASON_NO_BACKEND_SERVER, longRetry);
     const Candidate &candidate = service.candidates[*chosen];
     const microseconds wait = expectedWait(candidate);
     if (wait.count() > 0 && now + wait + candidate.serviceTime > request.deadline) {
         const auto retry = std::chrono::duration_cast<milliseconds>(wait) + milliseconds(1);
-        return refuseNotRun(state, shared, request, v1::REASON_DEADLINE, retry);
+        return refuseRequest(state, shared, request, v1::REASON_DEADLINE, retry);
     }
     return sendTo(state, request, candidate.name, candidate.address, now);
 }
@@ -194,12 +197,12 @@
 {
     const auto service = state.services.find(request.request.service);
     if (service == state.services.end())
-        return refuseNotRun(state, shared, request, v1::REASON_WRONG_SERVICE, milliseconds(0));
+        return refuseRequest(state, shared, request, v1::REASON_WRONG_SERVICE, milliseconds(0));
     if (now >= request.deadline)
-        return refuseNotRun(state, shared, request, v1::REASON_DEADLINE, milliseconds(0));
-    const Suspicion suspicion = suspicionNow(shared, request, now);
+        return refuseRequest(state, shared, request, v1::REASON_DEADLINE, milliseconds(0));
+    const Suspicion suspicion = currentSuspicion(shared, request, now);
     if (suspicion == Suspicion::Quarantined)
-        return refuseNotRun(state, shared, request, v1::REASON_CONVICTED, quarantineTime);
+        return refuseRequest(state, shared, request, v1::REASON_CONVICTED, quarantineTime);
     request.runAlone = suspicion == Suspicion::Suspect;
     if (!request.request.idempotent)
         return sendToOwner(state, shared, request, service->second, now);
@@ -221,14 +224,14 @@
     return spendRetry(shared.retryBudgets[request.request.service]);
 }
 
-/// Sends again after an attempt that surely did not run, or ends the request.
+/// Sends again after an attempt that certainly did not run, or ends the request.
 EntryAction retryNotRun(EntryState &state, EntryShared &shared, RequestState &request,
                         v1::Reason reason, milliseconds retryAfter, TimePoint now)
 {
     if (!mayRetry(state, shared, request))
-        return refuseNotRun(state, shared, request, reason, retryAfter);
+        return refuseRequest(state, shared, request, reason, retryAfter);
     EntryAction next = sendNext(state, shared, request, now);
-    // What the agent said tells the caller more than that nobody else is left.
+    // The agent's reason is more useful to the caller than that no other server is left.
     if (auto *refusal = std::get_if<Refusal>(&next)) {
         if (refusal->reason == v1::REASON_NO_BACKEND_SERVER) {
             refusal->reason = reason;
@@ -243,14 +246,14 @@
                             v1::Reason reason, TimePoint now)
 {
     request.mayHaveRun = true;
-    // A second run of a non-idempotent request would ship twice or open a second door.
+    // A second run of a non-idempotent request would repeat its effect.
     if (!request.request.idempotent || now >= request.deadline || !mayRetry(state, shared, request))
         return refuse(shared, request, EndKind::OutcomeUnknown, reason, longRetry);
     return sendNext(state, shared, request, now);
 }
 
-/// Records that the backend server died under the request.
-void witnessDeath(EntryShared &shared, const RequestState &request, TimePoint now)
+/// Records that the backend server died while it ran the request.
+void recordBackendDeath(EntryShared &shared, const RequestState &request, TimePoint now)
 {
     const std::string attempt = request.request.id + std::to_string(request.attempt);
     const Lock lock(shared.mutex);
@@ -258,27 +261,29 @@
                 pairHash(request.backendServer, attempt), request.runAlone, now);
 }
 
-/// Learns from an agent that knew of a suspicion before this entry did.
-void learnSuspicion(EntryShared &shared, const RequestState &request, v1::Reason reason,
-                    TimePoint now)
+/// Records the suspicion if the agent gave it as the reason of its refusal, because this entry may
+/// not have received it by heartbeat yet. It is recorded as a death, identified by the agent and
+/// the request.
+void recordReportedSuspicion(EntryShared &shared, const RequestState &request, v1::Reason reason,
+                             TimePoint now)
 {
     if (reason != v1::REASON_SUSPECT && reason != v1::REASON_CONVICTED)
         return;
-    const std::string evidence = "told by " + request.backendServer;
+    const std::string source = "told by " + request.backendServer;
     const Lock lock(shared.mutex);
-    recordDeath(shared.suspects, request.request.fingerprint,
-                pairHash(evidence, request.request.id), reason == v1::REASON_CONVICTED, now);
+    recordDeath(shared.suspects, request.request.fingerprint, pairHash(source, request.request.id),
+                reason == v1::REASON_CONVICTED, now);
 }
 
 EntryAction notRunVerdict(EntryState &state, EntryShared &shared, RequestState &request,
                           const v1::Verdict &verdict, TimePoint now)
 {
     endAttempt(state, request, false, now);
-    learnSuspicion(shared, request, verdict.reason(), now);
+    recordReportedSuspicion(shared, request, verdict.reason(), now);
     const milliseconds retryAfter(verdict.retry_after_ms());
     if (request.request.idempotent)
         return retryNotRun(state, shared, request, verdict.reason(), retryAfter, now);
-    // The home vouches for the key: it did not run and no try so far will.
+    // The owner guarantees that the key has not run and that no try so far will.
     const EndKind end = request.mayHaveRun && state.guards.rememberMayHaveRun
         ? EndKind::OutcomeUnknown
         : EndKind::NotRun;
@@ -300,11 +305,11 @@
     default:
         break;
     }
-    // Unknown kinds of newer releases count as the kind that promises least.
+    // Verdict kinds of newer releases are handled like an unknown outcome, which promises least.
     const bool died = verdict.reason() == v1::REASON_BACKEND_DIED;
     endAttempt(state, request, died, now);
     if (died)
-        witnessDeath(shared, request, now);
+        recordBackendDeath(shared, request, now);
     if (!request.request.idempotent) {
         return refuse(shared, request, EndKind::OutcomeUnknown, verdict.reason(),
                       milliseconds(verdict.retry_after_ms()));
@@ -312,12 +317,12 @@
     return retryMayHaveRun(state, shared, request, verdict.reason(), now);
 }
 
-/// An `end` frame: evidence of a death, or an answer that ended before it began.
+/// Applies an `end` frame: records a death that it reports, and retries if no answer had begun.
 EntryAction applyEnd(EntryState &state, EntryShared &shared, RequestState &request,
                      const v1::AnswerEnd &end, TimePoint now)
 {
     if (!end.complete() && end.reason() == v1::REASON_BACKEND_DIED)
-        witnessDeath(shared, request, now);
+        recordBackendDeath(shared, request, now);
     if (request.answering)
         return Nothing();
     endAttempt(state, request, true, now);
@@ -329,13 +334,13 @@
 {
     const auto found = state.declared->organisations.find(request.request.organisation);
     if (found == state.declared->organisations.end())
-        return refuseNotRun(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
+        return refuseRequest(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
     const v1::Organisation &organisation = found->second;
     const auto &allowed = organisation.services();
     const bool mayUse = allowed.empty()
         || std::find(allowed.begin(), allowed.end(), request.request.service) != allowed.end();
     if (!mayUse)
-        return refuseNotRun(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
+        return refuseRequest(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
     request.priority = std::min(request.request.priority, organisation.max_priority());
     std::optional<LimitRefusal> limit;
     {
@@ -343,8 +348,8 @@
         limit = admit(shared.limits, organisation.name(), now);
     }
     if (limit)
-        return refuseNotRun(state, shared, request, limit->reason, limit->retryAfter);
-    request.admitted = true;
+        return refuseRequest(state, shared, request, limit->reason, limit->retryAfter);
+    request.countedInLimits = true;
     return std::nullopt;
 }
 
@@ -359,7 +364,7 @@
         const bool starting = state.configVersion == 0;
         const auto reason = starting ? v1::REASON_STARTING : v1::REASON_WRONG_SERVICE;
         const auto retry = starting ? longRetry : milliseconds(0);
-        return refuseNotRun(state, shared, request, reason, retry);
+        return refuseRequest(state, shared, request, reason, retry);
     }
     const v1::Service &declared = service->second.declared->service;
     const bool stated = caller.deadline.count() > 0;
@@ -369,9 +374,9 @@
     const bool tooLarge =
         declared.max_body_bytes() > 0 && caller.bodyBytes > declared.max_body_bytes();
     if (badKey || tooLarge)
-        return refuseNotRun(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
-    if (suspicionNow(shared, request, now) == Suspicion::Quarantined)
-        return refuseNotRun(state, shared, request, v1::REASON_CONVICTED, quarantineTime);
+        return refuseRequest(state, shared, request, v1::REASON_BAD_REQUEST, milliseconds(0));
+    if (currentSuspicion(shared, request, now) == Suspicion::Quarantined)
+        return refuseRequest(state, shared, request, v1::REASON_CONVICTED, quarantineTime);
     if (auto refused = refusedByOrganisation(state, shared, request, now))
         return *refused;
     return sendNext(state, shared, request, now);
@@ -381,20 +386,20 @@
 {
     if (!request.outstanding)
         return false;
-    // A late answer of an abandoned attempt, or one of another request on a mixed-up stream, must
-    // not reach this caller.
+    // A late answer of an abandoned attempt, or an answer of another request that was delivered on
+    // the wrong stream, must not reach this caller.
     const bool same =
         frame.request_id() == request.request.id && frame.attempt() == request.attempt;
     return same || !state.guards.dropForeignFrames;
 }
 
-EntryAction attemptVerdict(EntryState &state, EntryShared &shared, RequestState &request,
-                           const v1::AgentFrame &frame, TimePoint now)
+EntryAction applyFrame(EntryState &state, EntryShared &shared, RequestState &request,
+                       const v1::AgentFrame &frame, TimePoint now)
 {
     if (!belongsTo(state, request, frame))
         return Nothing();
     if (Candidate *candidate = candidateOf(state, request)) {
-        attemptHeard(*candidate, now);
+        attemptFrameReceived(*candidate, now);
         if (frame.has_load())
             applyLoad(*candidate, frame.load(), now);
     }
@@ -407,9 +412,9 @@
     return applyVerdict(state, shared, request, frame.verdict(), now);
 }
 
-bool answerIsWhole(const RequestState &request, const v1::AnswerEnd &end)
+bool isAnswerComplete(const RequestState &request, const v1::AnswerEnd &end)
 {
-    // A chunk that was lost, doubled or overtaken shows as another count of bytes.
+    // A lost, duplicated or reordered chunk changes the number of bytes that were counted.
     return end.complete() && end.bytes() == request.answerBytes;
 }
 
@@ -431,7 +436,7 @@
         return Nothing();
     request.mayHaveRun = request.mayHaveRun || request.outstanding;
     endAttempt(state, request, true, now);
-    return refuseNotRun(state, shared, request, v1::REASON_DEADLINE, milliseconds(0));
+    return refuseRequest(state, shared, request, v1::REASON_DEADLINE, milliseconds(0));
 }
 
 void answerEnded(EntryState &state, EntryShared &shared, RequestState &request, bool complete,
@@ -460,7 +465,7 @@
     releaseShared(shared, request);
 }
 
-void observeSuspects(EntryShared &shared, const v1::Heartbeat &heartbeat, TimePoint now)
+void mergeSuspects(EntryShared &shared, const v1::Heartbeat &heartbeat, TimePoint now)
 {
     const Lock lock(shared.mutex);
     for (const v1::SuspectReport &report : heartbeat.suspects())
--- a/Source/Version/ConfigReplay.cpp
+++ b/Source/Version/ConfigReplay.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// Whether the log still holds each record that follows the snapshot.
+/// Whether the log still holds each record after the snapshot's as_of.
 ///
-/// Failure guarded against: a change accepted between a snapshot's as_of and the snapshot's own
-/// offset, whose record has expired. A reader that took the snapshot would miss the change, and
-/// what it superseded would silently return. The check holds because such a change stands at
-/// as_of + 1 or later, so its record is either still held or makes the snapshot unusable.
-bool isUsable(const v1::SnapshotRecord &snapshot, Offset firstHeld)
+/// Guards against a change that was accepted between a snapshot's as_of and the snapshot's own
+/// offset and whose record has expired. A reader that adopted the snapshot would miss the change
+/// and silently restore what it superseded. Such a change has offset as_of + 1 or higher, so the
+/// log either still holds its record or the snapshot is unusable.
+bool isUsable(const v1::SnapshotRecord &snapshot, Offset firstRetained)
 {
-    return snapshot.as_of() + 1 >= firstHeld;
+    return snapshot.as_of() + 1 >= firstRetained;
 }
 
 void searchBatch(ReplayCursor &cursor, const LogBatch &batch)
@@ -46,7 +46,8 @@
     if (!parsed.ParseFromString(record.data) || !parsed.has_snapshot())
         return;
     cursor.newestSnapshot = std::max<Offset>(cursor.newestSnapshot, parsed.snapshot().as_of());
-    // Two readers that disagree show here at the latest; the state that replay gave is kept.
+    // Detects another reader whose state differs; the replayed state stays. Only a snapshot
+    // directly after its as_of can be compared.
     if (parsed.snapshot().as_of() + 1 == record.offset
         && parsed.snapshot().SerializeAsString() != snapshotOf(cursor.state).SerializeAsString())
         cursor.diverged = true;
--- a/Tests/Connection/FrameCodecTest.cpp
+++ b/Tests/Connection/FrameCodecTest.cpp
@@ -7,7 +7,7 @@
 
 using namespace wisteria;
 
-TEST_CASE("Frames come out as they went in, however the stream is cut")
+TEST_CASE("Frames are decoded unchanged, wherever the stream is split")
 {
     const bool holds = rc::check([](const std::vector<std::string> &bodies) {
         std::string stream;
@@ -30,12 +30,12 @@
             }
         }
         RC_ASSERT(received == bodies);
-        RC_ASSERT(!reader.hasPartialFrame());
+        RC_ASSERT(!reader.hasUnreadBytes());
     });
     CHECK(holds);
 }
 
-TEST_CASE("A frame that claims too much is an error and is not waited for")
+TEST_CASE("A frame that declares more than the maximum size is an error before its content arrives")
 {
     FrameReader reader;
     reader.feed(std::string("\xff\xff\xff\xff", 4));
--- a/Tests/Fuzz/SettingsFuzzer.cpp
+++ b/Tests/Fuzz/SettingsFuzzer.cpp
@@ -1,5 +1,5 @@
-// Whatever stands in a settings file, the parser must give either a document that fits the schema
-// or a message that names the file; it must never crash.
+// Feeds arbitrary bytes to the parser of settings files. It must return a document whose name
+// and listen are strings, as the schema requires, or an error that names the file, and not crash.
 
 #include <cstdint>
 #include <cstdlib>
