--- a/Source/Programs/Bench/PlacementReplay.cpp
+++ b/Source/Programs/Bench/PlacementReplay.cpp
@@ -37,7 +37,7 @@
         problem.loads = loads;
         SearchLimits limits;
         limits.maxMoves = static_cast<std::uint32_t>(group.ranks.size()) * group.experts;
-        limits.minGainPerMove = 1e-6;
+        limits.minGainPerReplica = 1e-6;
         SearchBudget budget;
         const LayerMap greedy = greedyLayerMap(group, loads);
         LayerMap best = improveLayerMap(group, greedy, greedy, problem, limits, budget).map;
--- a/Source/Programs/Sidecar/GroupLeader.cpp
+++ b/Source/Programs/Sidecar/GroupLeader.cpp
@@ -120,7 +120,7 @@
 void GroupLeader::stop()
 {
     for (auto &[name, group] : groups_)
-        resetRanks(group);
+        resetSwitch(group);
     lastReceivedAt_.clear();
     leadingSince_ = TimePoint();
 }
--- a/Source/Version/BackendEntry.h
+++ b/Source/Version/BackendEntry.h
@@ -9,7 +9,7 @@
 
 namespace wisteria {
 
-/// A backend server's own entry in the list of backend servers.
+/// One backend server in the list of backend servers. Not an entry process, see EntryMembers.
 struct BackendEntry
 {
     std::string id;
--- a/Source/Version/CountsAggregation.h
+++ b/Source/Version/CountsAggregation.h
@@ -26,10 +26,10 @@
     CountsReply sum;
 };
 
-/// Adds the counts of one rank, or the sum of several. Counts of another group or a newer epoch,
-/// after the group was re-formed, replace the sum; those of an older epoch are ignored. A reply
-/// whose number of counts differs only adds to `ranks` and `passes`. Every reply, also an ignored
-/// one, reduces `awaited`.
+/// Adds the counts of one rank, or the sum of several. A reply of an older epoch is
+/// ignored, whatever its group. Otherwise one of another group, or of a newer epoch after the group
+/// was re-formed, replaces the sum. A reply whose number of counts differs only adds to `ranks` and
+/// may raise `passes`. Every reply, also an ignored one, reduces `awaited`.
 void addCounts(CountsAggregation &aggregation, const CountsReply &reply);
 
 /// Returns whether the sum is to be sent now: all sidecars have replied, or the timeout has passed.
--- a/Source/Version/DemandPlacement.cpp
+++ b/Source/Version/DemandPlacement.cpp
@@ -269,7 +269,7 @@
             .loads = demand.loads[entry.set],
             .noise = std::sqrt(static_cast<double>(profile.expertsPerSet) / total)};
         SearchLimits limits{.maxMoves = static_cast<std::uint32_t>(ranks) * profile.copiesPerMap,
-                            .minGainPerMove = minGainPerCopy(profile, bounds),
+                            .minGainPerReplica = minGainPerCopy(profile, bounds),
                             .stagingCapacity = remainingCopies,
                             .maxPartners = maxSearchPartners};
         for (std::uint32_t &capacity : limits.stagingCapacity)
--- a/Source/Version/DemandPlacement.h
+++ b/Source/Version/DemandPlacement.h
@@ -54,8 +54,8 @@
     /// Minimum gain of a change in skew, averaged over the sets. Passes take longer while experts
     /// are copied: changes for a smaller gain slow a loaded group down more than they gain.
     double minGain = 0.25;
-    /// Minimum gain in skew, averaged over the sets, for each second of copying one expert; it
-    /// halves the bytes that are copied.
+    /// Minimum gain in skew, averaged over the sets, for each second of copying one expert. It
+    /// avoids copies that gain little.
     double minGainPerCopySecond = 0.045;
     /// Maximum time that one rank may copy for one change, over all sets: a rank copies one expert
     /// after the other, and the switch waits for the slowest rank.
--- a/Source/Version/ExpertMap.h
+++ b/Source/Version/ExpertMap.h
@@ -21,7 +21,8 @@
     bool operator==(const LayerMap &) const = default;
 };
 
-/// The expert map of a rank group: one map per layer.
+/// The expert map of a rank group in the placement policies: one map per layer. RankMap is the map
+/// that ranks report and are ordered to prepare, by set of layers.
 struct ExpertMap
 {
     std::vector<LayerMap> layers;
@@ -52,6 +53,7 @@
     std::uint64_t expertBytes = 0;
     /// Bandwidth of the weight store for the whole group, in bytes per second.
     double storeBytesPerSecond = 0;
+    /// Duration of one pass of the group.
     milliseconds stepTime{0};
     /// Declared weights of step-time skew and of rebalancing cost.
     double skewWeight = 0;
@@ -68,7 +70,7 @@
 Result<void> checkLayerMap(const RankGroup &group, const LayerMap &map);
 
 /// Returns the initial map of a group whose loads are unknown: the experts in order, with the spare
-/// slots filled from the first expert again.
+/// slots filled from the first expert again. In firstRankMap() spare slots stay empty.
 LayerMap initialLayerMap(const RankGroup &group);
 
 /// Returns the number of replicas of each expert.
@@ -93,7 +95,7 @@
 
 /// Subtracts a layer's new replicas from the number of replicas that each rank can still stage. An
 /// empty `capacity` is unlimited. The old replicas stay in use while new ones are staged: without
-/// enough capacity, the rank would run out of memory in the middle of a step.
+/// enough capacity, the rank would run out of memory in the middle of a pass.
 /// @return Whether the capacity was sufficient; if not, it is unchanged.
 bool reserveStagingCapacity(std::vector<std::uint32_t> &capacity, const LayerMap &current,
                             const LayerMap &next);
--- a/Source/Version/ExpertMapCache.h
+++ b/Source/Version/ExpertMapCache.h
@@ -8,8 +8,8 @@
 
 namespace wisteria {
 
-/// Complete maps by version, from the orders to prepare that a sidecar received. The
-/// changes of later orders apply to them. A value type without I/O.
+/// Complete maps of the group (RankMap, not ExpertMap) by version, from the orders to prepare that
+/// a sidecar received. The changes of later orders apply to them. A value type without I/O.
 struct ExpertMapCache
 {
     std::map<std::uint64_t, RankMap> byVersion;
--- a/Source/Version/GroupDemand.cpp
+++ b/Source/Version/GroupDemand.cpp
@@ -18,14 +18,14 @@
     group.windowRanks = 0;
     if (passes == 0)
         return;
-    const bool shifted = !group.demandShifted
+    const bool shifted = !group.shiftWindowDiscarded
         && hasShifted(group.demand, window, currentMap(group, profile), slowdownsOf(group));
     if (shifted) {
         group.demand = {};
         group.demandShiftedAt = now;
     }
-    group.demandShifted = shifted && passes > 1;
-    if (group.demandShifted)
+    group.shiftWindowDiscarded = shifted && passes > 1;
+    if (group.shiftWindowDiscarded)
         return;
     mergeWindow(group.demand, window, now);
     group.demandIsNew = true;
--- a/Source/Version/GroupMessages.h
+++ b/Source/Version/GroupMessages.h
@@ -183,7 +183,8 @@
     std::uint32_t ageMilliseconds = 0;
 };
 
-/// Returns the map that groups start with, version 0: experts are assigned to ranks round-robin.
+/// Returns the initial map of a group, version 0: experts are assigned to ranks round-robin. Spare
+/// slots stay empty, unlike in initialLayerMap().
 RankMap firstRankMap(const ExpertProfile &profile, std::size_t ranks);
 
 /// Returns the changes that turn one map into another of the same shape.
--- a/Source/Version/GroupQueries.cpp
+++ b/Source/Version/GroupQueries.cpp
@@ -95,7 +95,7 @@
     return map;
 }
 
-RankMap currentMapOfKnown(const GroupSwitch &group, const ExpertProfile &profile)
+RankMap currentMapInferringOne(const GroupSwitch &group, const ExpertProfile &profile)
 {
     const std::uint32_t size = groupSizeOf(group);
     if (group.ranks.size() >= size)
--- a/Source/Version/GroupQueries.h
+++ b/Source/Version/GroupQueries.h
@@ -53,7 +53,8 @@
 RankMap currentMap(const GroupSwitch &group, const ExpertProfile &profile);
 
 /// The same, but one rank may be unknown: it is assumed to have the experts that no other rank has.
-RankMap currentMapOfKnown(const GroupSwitch &group, const ExpertProfile &profile);
+/// Empty when two or more are unknown.
+RankMap currentMapInferringOne(const GroupSwitch &group, const ExpertProfile &profile);
 
 /// Returns the versions whose complete map the leader has, so that ranks on them may omit their
 /// experts.
--- a/Source/Version/HoldRecovery.cpp
+++ b/Source/Version/HoldRecovery.cpp
@@ -24,15 +24,14 @@
     });
     if (group.version != 0 && !newHold && !anyHasSuperseded(group, group.version))
         return true;
-    RankMap current = currentMapOfKnown(group, profile);
+    RankMap current = currentMapInferringOne(group, profile);
     if (current.empty())
         return false;
     setBase(group, profile, current);
     group.map = std::move(current);
     group.version = newVersion(group, leader);
     group.recoveredHolds = holds;
-    // Meant to give another leader that recovers the same hold time to finish. Once a version is
-    // chosen no decision reads this time; it only affects the recorded phase times.
+    // Restarts the phase's time, which from here on only affects the recorded phase times.
     group.phaseSince = now;
     return true;
 }
--- a/Source/Version/LayerSearch.cpp
+++ b/Source/Version/LayerSearch.cpp
@@ -184,7 +184,7 @@
 void LayerSearch::consider(std::size_t partner, const SearchStep &step)
 {
     SearchStep &best = steps_[partner];
-    if (best.moves == 0 || step.change / step.moves < best.change / best.moves)
+    if (best.placed == 0 || step.change / step.placed < best.change / best.placed)
         best = step;
 }
 
@@ -203,8 +203,8 @@
 }
 
 /// Evaluates exchanging an expert of the busiest rank for the least loaded expert of another rank
-/// that the busiest rank can take. Evaluating the more loaded ones too led to the same maps with
-/// twice the work.
+/// that the busiest rank can take. Evaluating the more loaded ones too takes longer and leads
+/// to the same maps.
 void LayerSearch::considerExchange(std::size_t busiest, std::size_t slot, std::size_t rank)
 {
     const ExpertId outgoing = map_.ranks[busiest][slot];
@@ -273,9 +273,9 @@
                                       [](const SearchStep &step) { return step.change < 0; });
     for (std::size_t slot = 0; slot < map_.ranks[busiest].size() && !improves; ++slot)
         considerReplacement(busiest, slot);
-    std::erase_if(steps_, [](const SearchStep &step) { return step.moves == 0; });
+    std::erase_if(steps_, [](const SearchStep &step) { return step.placed == 0; });
     std::stable_sort(steps_.begin(), steps_.end(), [](const SearchStep &a, const SearchStep &b) {
-        return a.change / a.moves < b.change / b.moves;
+        return a.change / a.placed < b.change / b.placed;
     });
     return steps_;
 }
--- a/Source/Version/LayerSearch.h
+++ b/Source/Version/LayerSearch.h
@@ -24,8 +24,8 @@
     std::size_t otherRank = 0;
     std::size_t otherSlot = noSlot;
     /// Replicas that the step places: 1, or 2 for an exchange. Also counts replicas that the rank
-    /// holds in the map in force and need not copy.
-    std::uint32_t moves = 0;
+    /// has in the map in force and need not copy.
+    std::uint32_t placed = 0;
     /// Change of the sum whose logarithm expectedSkew() takes; negative for a gain.
     double change = 0;
 
@@ -37,7 +37,7 @@
 class LayerSearch
 {
 public:
-    /// @param current The map in force, which moves are counted from.
+    /// @param current The map in force, whose replicas need no copy.
     LayerSearch(const RankGroup &group, const LayerMap &current, const LayerMap &start,
                 const SearchProblem &problem, const SearchLimits &limits, SearchBudget &budget);
 
@@ -59,6 +59,7 @@
     void apply(const SearchStep &step);
 
 private:
+    /// Whether the rank has the expert; unrelated to a hold of the group.
     bool holds(std::size_t rank, ExpertId expert) const { return held_[index(rank, expert)]; }
     bool needsCopy(std::size_t rank, ExpertId expert) const
     {
@@ -95,7 +96,7 @@
     /// k in expectedSkew().
     double sharpness_ = 0;
     std::vector<char> held_;
-    /// Experts that each rank holds in the map in force, and the number that it has to copy so far.
+    /// Experts that each rank has in the map in force, and the number that it has to copy so far.
     /// Both are stored because every evaluated step checks the staging capacity.
     std::vector<char> currentHeld_;
     std::vector<std::uint32_t> copied_;
--- a/Source/Version/PlacementCostAware.cpp
+++ b/Source/Version/PlacementCostAware.cpp
@@ -183,8 +183,8 @@
         const LayerMap start = stickyLayerMap(group, assessment.problem.loads, current, ceiling);
         SearchResult found =
             improveLayerMap(group, current, start, assessment.problem, limits, budget);
-        const double foundCost = limits.minGainPerMove * found.moves;
-        if (found.foundSkew + foundCost < best.foundSkew + limits.minGainPerMove * best.moves)
+        const double foundCost = limits.minGainPerReplica * found.moves;
+        if (found.foundSkew + foundCost < best.foundSkew + limits.minGainPerReplica * best.moves)
             best = std::move(found);
     }
     return best;
@@ -201,7 +201,7 @@
         return decision;
     SearchLimits limits;
     limits.maxMoves = slotsOf(group);
-    limits.minGainPerMove = paybackGain(group, assessment.forecast);
+    limits.minGainPerReplica = paybackGain(group, assessment.forecast);
     limits.stagingCapacity = stagingCapacity;
     SearchResult found = searchLayer(group, placement.map, assessment, limits, budget);
     if (found.moves == 0)
--- a/Source/Version/PlacementEstimate.h
+++ b/Source/Version/PlacementEstimate.h
@@ -13,7 +13,8 @@
 /// Gains of exponential smoothing that the estimator compares.
 inline constexpr std::array<double, 6> smoothingGains = {0.02, 0.05, 0.1, 0.2, 0.4, 0.8};
 
-/// Tokens of each expert of one layer, counted since the layer's previous report.
+/// Tokens of each expert of one layer, counted since the layer's previous report. Not an engine's
+/// load as gateways receive it, see EngineLoad.
 struct LoadReport
 {
     /// Time at which the loads were measured, not at which the report arrived.
--- a/Source/Version/PlacementSearch.cpp
+++ b/Source/Version/PlacementSearch.cpp
@@ -17,18 +17,19 @@
 struct StepPlan
 {
     std::vector<SearchStep> steps;
-    std::uint32_t moves = 0;
+    /// Sum of SearchStep::placed.
+    std::uint32_t placed = 0;
     double gain = 0;
 };
 
 bool isWorthwhile(const StepPlan &plan, const SearchLimits &limits)
 {
-    return plan.moves > 0 && plan.gain > 0 && plan.gain / plan.moves >= limits.minGainPerMove;
+    return plan.placed > 0 && plan.gain > 0 && plan.gain / plan.placed >= limits.minGainPerReplica;
 }
 
 StepPlan planOf(const LayerSearch &search, const SearchStep &step)
 {
-    return {{step}, step.moves, search.gainOf(step.change)};
+    return {{step}, step.placed, search.gainOf(step.change)};
 }
 
 /// Combines each of the best first steps with its best second step. A hot expert may fit on another
@@ -46,9 +47,9 @@
         if (secondSteps.empty())
             continue;
         const SearchStep &second = secondSteps.front();
-        StepPlan plan{{firstSteps[i], second}, firstSteps[i].moves + second.moves, 0};
+        StepPlan plan{{firstSteps[i], second}, firstSteps[i].placed + second.placed, 0};
         plan.gain = search.skew() - (ahead.skew() - ahead.gainOf(second.change));
-        const bool better = best.moves == 0 || plan.gain / plan.moves > best.gain / best.moves;
+        const bool better = best.placed == 0 || plan.gain / plan.placed > best.gain / best.placed;
         if (isWorthwhile(plan, limits) && better)
             best = plan;
     }
--- a/Source/Version/PlacementSearch.h
+++ b/Source/Version/PlacementSearch.h
@@ -22,8 +22,9 @@
 {
     /// Maximum number of replicas to copy.
     std::uint32_t maxMoves = 0;
-    /// Minimum gain in expected skew for each copied replica.
-    double minGainPerMove = 0;
+    /// Minimum gain in expected skew for each placed replica, whether it needs a copy or not, see
+    /// SearchStep::placed.
+    double minGainPerReplica = 0;
     /// Replicas that each rank can stage beside those in use; empty when unlimited.
     std::vector<std::uint32_t> stagingCapacity;
     /// Besides the busiest rank, a step may involve ranks that are no busier than the
@@ -47,6 +48,7 @@
     /// Expected skew of the current map and of the one found.
     double currentSkew = 1;
     double foundSkew = 1;
+    /// Number of replicas to copy, see countMoves().
     std::uint32_t moves = 0;
 };
 
@@ -58,12 +60,12 @@
 double expectedSkew(const RankGroup &group, const LayerMap &map, const SearchProblem &problem);
 
 /// Improves a map by steepest descent: applies the step with the most gain per placed replica while
-/// the gain reaches SearchLimits::minGainPerMove. When no single step does, it applies the best
+/// the gain reaches SearchLimits::minGainPerReplica. When no single step does, it applies the best
 /// pair of steps. A step relieves the busiest rank by adding a replica elsewhere, by replacing one
 /// of its replicated experts, or by exchanging two experts. Deterministic: ties go to the first
 /// step found. Every intermediate map is valid, so the search may end early when the budget is used
 /// up.
-/// @param current The map in force, which moves are counted from.
+/// @param current The map in force, whose replicas need no copy.
 /// @param start The map to improve: the current one, or another one for the same group.
 SearchResult improveLayerMap(const RankGroup &group, const LayerMap &current, const LayerMap &start,
                              const SearchProblem &problem, const SearchLimits &limits,
--- a/Source/Version/RankReport.h
+++ b/Source/Version/RankReport.h
@@ -48,7 +48,8 @@
     std::vector<std::uint64_t> counts;
 };
 
-/// Experts by set and rank.
+/// The expert map of a group as its ranks report it: experts by set and rank. A set is one or more
+/// layers that share one map. ExpertMap is the placement policies' map, by layer.
 using RankMap = std::vector<std::vector<std::vector<std::uint32_t>>>;
 
 /// Kind of order to a rank.
--- a/Source/Version/RankSwitch.cpp
+++ b/Source/Version/RankSwitch.cpp
@@ -224,7 +224,7 @@
     group.ranks[rank] = {std::move(status), now};
 }
 
-void resetRanks(GroupSwitch &group)
+void resetSwitch(GroupSwitch &group)
 {
     GroupSwitch kept{.group = group.group, .epoch = group.epoch};
     kept.highestVersion = group.highestVersion;
--- a/Source/Version/RankSwitch.h
+++ b/Source/Version/RankSwitch.h
@@ -154,8 +154,9 @@
     std::uint64_t windowPasses = 0;
     /// When the first counts of the window were received.
     TimePoint windowSince{};
-    /// Demand has shifted: older counts were dropped, and demand is unknown until the next window.
-    bool demandShifted = false;
+    /// The last window showed a shift and covered several passes, so it was discarded; demand is
+    /// empty until the next window.
+    bool shiftWindowDiscarded = false;
     /// When a shift was last detected.
     std::optional<TimePoint> demandShiftedAt{};
     SwitchPhase phase = SwitchPhase::Idle;
@@ -243,9 +244,10 @@
 /// state first.
 void applyStatus(GroupSwitch &group, RankStatus status, TimePoint now);
 
-/// Resets all state, the demand included, when another sidecar leads. Only the highest version and
-/// the last held pass are kept, so that no version number and no held pass is used again.
-void resetRanks(GroupSwitch &group);
+/// Resets all state, the demand included, when another sidecar leads. Only the group's name and
+/// epoch, the highest version and the last held pass are kept, so that no version number and no
+/// held pass is used again.
+void resetSwitch(GroupSwitch &group);
 
 /// Records that a rank has executed an order that was sent directly to its engine.
 void noteOrderDone(GroupSwitch &group, std::uint32_t rank, const RankOrder &order, TimePoint now);
--- a/Source/Version/SentLoad.h
+++ b/Source/Version/SentLoad.h
@@ -16,7 +16,8 @@
     TimePoint sentAt;
 };
 
-/// Minimum interval between two different loads. Gateways choose backend servers by them.
+/// Minimum interval between two different loads of an engine (EngineLoad). Gateways choose backend
+/// servers by them.
 constexpr milliseconds loadReportInterval{100};
 /// Interval between two equal loads: two of them may be lost before gateways treat the load as
 /// unknown.
--- a/Tests/Model/RankSwitch.pml
+++ b/Tests/Model/RankSwitch.pml
@@ -12,7 +12,9 @@
  * With -DSILENT_LEADER a held group may be released without a status of the rank beside the leader
  * that ordered the hold, as after that VM froze. For this each leader orders the rank after its own
  * to hold, uses a pass for one version only, and arms the rank beside itself last. A leader that
- * finds the group held by another leader arms no rank for that pass.
+ * finds the group held by another leader arms no rank for that pass. The program follows this
+ * variant. The base variant, where a leader orders its own rank to hold, checks the guards for
+ * leaders whose ranks are all reachable.
  */
 #define RANKS 2
 #define LEADERS 2
--- a/Tests/Version/DemandPlacementTest.cpp
+++ b/Tests/Version/DemandPlacementTest.cpp
@@ -88,8 +88,8 @@
     REQUIRE(sum / seeds < 1.3);
 }
 
-// Streams of a loaded group pause for too long. Experts were copied two thirds of the time for
-// gains of a few hundredths of skew, and each pass takes longer during the copies.
+// Guards against streams of a loaded group that pause for too long. Experts are copied most of the
+// time for gains of a few hundredths of skew, and each pass takes longer during the copies.
 TEST_CASE("A nearly balanced map is not changed")
 {
     ExpertDemand demand = skewedDemand(3);
--- a/Tests/Version/DemandShiftTest.cpp
+++ b/Tests/Version/DemandShiftTest.cpp
@@ -107,8 +107,8 @@
 TEST_CASE("The map after a shift is computed only from counts after the shift")
 {
     // Each stream of a group has several late events at each shift of demand instead of one: the
-    // counts around the shift include requests from before and after it, the leader computed a map
-    // for this mixture, and another change was needed 0.4 s later.
+    // counts around the shift include requests from before and after it, the leader computes a map
+    // for this mixture, and another change is needed soon after.
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         const auto before = drawCounts(seed);
         const auto after = drawCounts(seed + 100);
--- a/Tests/Version/FleetTrafficTest.cpp
+++ b/Tests/Version/FleetTrafficTest.cpp
@@ -28,8 +28,7 @@
 } // namespace
 
 // Guards against hellos that contain the engine list, 1.7 KB for 192 engines. Traffic across
-// failure domains then grows with gateways times engines squared, and was the largest cost of a
-// fleet of that size.
+// failure domains then grows with gateways times engines squared.
 TEST_CASE("A hello has the same few bytes however many engines the list has")
 {
     const auto helloBytes = [](std::uint32_t engines) {
@@ -71,9 +70,9 @@
     REQUIRE(requestedLists <= 5);
 }
 
-// Guards against an overload of gateways by load reports: one with 0.18 cores received 1,920 loads
-// a second from 192 sidecars, most of them equal to the one before. A request that begins or ends
-// must still be reported within a tenth of a second.
+// Guards against an overload of gateways by engine loads: each of 192 sidecars sends many loads a
+// second, most of them equal to the one before. A request that begins or ends must still be
+// reported within a tenth of a second.
 TEST_CASE("Changed loads are sent within a tenth of a second, unchanged loads less often")
 {
     constexpr milliseconds reportPeriod{25};
@@ -157,9 +156,8 @@
 } // namespace
 
 // Guards against streams of a group of 192 ranks that pause for a second or more after each shift
-// of demand. Replies with the ranks' counts, 24 sums of 7.7 KB every 50 ms, were five times the
-// capacity of the leader's link of 6 Mbit/s, and took 72 ms of each relay's link for its seven
-// sums, so that statuses and orders were lost or late.
+// of demand. Replies with the ranks' counts exceed the capacity of the leader's link of 6 Mbit/s
+// and keep each relay's link busy for most of a pass, so that statuses and orders are lost or late.
 TEST_CASE("The counts of 192 ranks keep each link busy for less than half of a pass")
 {
     constexpr double passMilliseconds = 90;
@@ -223,9 +221,9 @@
     REQUIRE(leaders == 1);
 }
 
-// Guards against slow switches. Engines left half of the orders unanswered for eight seconds, and a
-// new map for 192 ranks took one to two seconds to prepare: a sidecar gave up after six attempts,
-// the leader's resend interval doubles, and all ranks wait for the last one.
+// Guards against slow switches. While engines leave half of the orders unanswered, a new map for
+// 192 ranks takes seconds to prepare if a sidecar gives up early: the leader's resend interval
+// doubles, and all ranks wait for the last one.
 TEST_CASE(
     "With half of the orders unanswered all 192 ranks mostly have theirs within half a second")
 {
--- a/Tests/Version/RankGroupWorld.h
+++ b/Tests/Version/RankGroupWorld.h
@@ -109,10 +109,10 @@
     std::uint32_t switches() const { return switches_; }
 
     /// Makes rank 1 hold the group, as ordered by a leader that no longer exists.
-    void addOrphanedHold() { ranks_[1].report.heldPass = ranks_[1].report.pass + 2; }
+    void addHoldWithoutLeader() { ranks_[1].report.heldPass = ranks_[1].report.pass + 2; }
 
-    /// Makes a rank prepare a higher version in 60 ms, as a late order does. After an orphaned hold
-    /// the group is then being released.
+    /// Makes a rank prepare a higher version in 60 ms, as a late order does. After a hold without a
+    /// live leader the group is then in SwitchPhase::Recovering.
     void prepareHigherVersion(std::uint32_t rank, std::uint64_t version)
     {
         schedule(milliseconds(60), [this, rank, version] {
@@ -130,7 +130,7 @@
             rank.report.prepared = 5;
             rank.preparedMap = {{{0, 4}, {1, 5}, {2, 6}, {3, 7}}};
         }
-        addOrphanedHold();
+        addHoldWithoutLeader();
         ranks_[2].report.armed = 5;
         ranks_[2].report.armedPass = *ranks_[1].report.heldPass;
     }
--- a/Tests/Version/RankSwitchTest.cpp
+++ b/Tests/Version/RankSwitchTest.cpp
@@ -49,9 +49,9 @@
     }
 }
 
-// Guards against a group whose streams all stop, once seen for 34 seconds until a restart. A status
-// with a new time contains a rank's state before its copies were complete. The leader takes the
-// version for lost and prepares another one, which the ranks armed meanwhile refuse.
+// Guards against a group whose streams all stop until a restart. A status with a new time contains
+// a rank's state before its copies were complete. The leader takes the version for superseded and
+// prepares another one, which the ranks armed meanwhile refuse.
 TEST_CASE("Old states that are sent with a new time leave no group held")
 {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
@@ -67,8 +67,8 @@
 
 // Guards against a pass with two maps in force, which corrupts the output of streams. The links of
 // two leaders are seconds behind. One sees ranks before their copies are complete, takes the
-// version for lost and disarms them, while the other has seen all of them armed and releases the
-// group.
+// version for superseded and disarms them, while the other has seen all of them armed and releases
+// the group.
 TEST_CASE("Leaders whose links are seconds behind never cause a pass with two maps")
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
@@ -89,20 +89,20 @@
 {
     RankGroupWorld world(7, {});
     world.run(seconds(3));
-    world.addOrphanedHold();
+    world.addHoldWithoutLeader();
     world.run(seconds(2));
     REQUIRE_FALSE(world.beganMixedPass());
     REQUIRE(world.maxPassInterval() < seconds(1));
 }
 
 // Guards against a group that is held forever. A leader whose clock is ahead orders a rank to
-// prepare a high version and dies. Its successor, while it releases a held group, orders that rank
+// prepare a high version and dies. Its successor, while it recovers a held group, orders that rank
 // to prepare lower versions, which the rank always refuses.
 TEST_CASE("A rank that has had a higher version does not keep a group held")
 {
     RankGroupWorld world(9, {});
     world.run(seconds(3));
-    world.addOrphanedHold();
+    world.addHoldWithoutLeader();
     world.prepareHigherVersion(3, 90'000 * ranksPerVersionTick);
     world.run(seconds(3));
     REQUIRE_FALSE(world.beganMixedPass());
@@ -119,8 +119,8 @@
 }
 
 // Guards against an overload by direct orders. A leader whose own link is behind takes the sidecars
-// of 192 ranks for silent and sent orders directly to each engine: 1,000 connections within a
-// second, 1,584 of 1,598 orders without an answer in time, while the group was held.
+// of 192 ranks for silent and sends orders directly to each engine: most of these orders get no
+// answer in time, while the group is held.
 TEST_CASE(
     "A leader sends direct orders to a few silent ranks, but to none if many ranks are silent")
 {
