--- a/Source/Connection/CallerServer.cpp
+++ b/Source/Connection/CallerServer.cpp
@@ -197,7 +197,7 @@
         bool aboveLowWatermark_ = false;
     };
 
-    Private(EventLoop &loop, CallerService &service, CallerLimits limits)
+    Private(EventLoop &loop, CallerService &service, CallerServerLimits limits)
         : loop_(loop), service_(service), limits_(limits)
     { }
 
@@ -373,7 +373,7 @@
 
     EventLoop &loop_;
     CallerService &service_;
-    CallerLimits limits_;
+    CallerServerLimits limits_;
     MHD_Daemon *daemon_ = nullptr;
     int epoll_ = -1;
     bool runScheduled_ = false;
@@ -383,7 +383,7 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-CallerServer::CallerServer(EventLoop &loop, CallerService &service, CallerLimits limits)
+CallerServer::CallerServer(EventLoop &loop, CallerService &service, CallerServerLimits limits)
     : private_(std::make_unique<Private>(loop, service, limits))
 { }
 
--- a/Source/Connection/CallerServer.h
+++ b/Source/Connection/CallerServer.h
@@ -65,7 +65,7 @@
 };
 
 /// Limits of what callers may send and of their connections.
-struct CallerLimits
+struct CallerServerLimits
 {
     std::size_t maxBodyBytes = 4 * 1024 * 1024;
     /// Memory of one connection in bytes. Limits the size of the headers: longer ones are answered
@@ -81,7 +81,7 @@
 {
 public:
     /// @param service Must outlive the server.
-    CallerServer(EventLoop &loop, CallerService &service, CallerLimits limits = {});
+    CallerServer(EventLoop &loop, CallerService &service, CallerServerLimits limits = {});
     ~CallerServer();
     CallerServer(const CallerServer &) = delete;
     CallerServer &operator=(const CallerServer &) = delete;
--- a/Source/Connection/TcpConnection.h
+++ b/Source/Connection/TcpConnection.h
@@ -33,7 +33,8 @@
 class TcpConnection
 {
 public:
-    /// Starts to connect. On success `connected` is called, on failure `ended(Refused)`.
+    /// Starts to connect. On success `connected` is called, on failure
+    /// `ended(TcpEnd::NotEstablished)`.
     static std::unique_ptr<TcpConnection> connect(EventLoop &loop, const Endpoint &to,
                                                   TcpEvents events);
     /// Wraps an accepted descriptor and becomes its owner.
--- a/Source/Process/AgentHeartbeats.cpp
+++ b/Source/Process/AgentHeartbeats.cpp
@@ -11,8 +11,7 @@
 
 constexpr milliseconds minInterval(1000);
 constexpr milliseconds maxInterval(10'000);
-/// Limits heartbeats to 20 a second for up to 200 agents. One heartbeat and its answer have 134 to
-/// 147 bytes, so that makes 3 KB a second.
+/// Limits heartbeats to 20 a second for up to 200 agents, as each costs control traffic.
 constexpr milliseconds intervalPerAgent(50);
 
 } // namespace
--- a/Source/Process/AgentHeartbeats.h
+++ b/Source/Process/AgentHeartbeats.h
@@ -43,7 +43,7 @@
 };
 
 /// Time between two heartbeats to the same agent. Grows with the number of agents, up to 10 s, to
-/// keep the control traffic of an entry within its 7 KB a second.
+/// limit the control traffic of an entry.
 milliseconds heartbeatInterval(std::size_t agents);
 
 } // namespace wisteria
--- a/Source/Process/AgentWorkerEvents.h
+++ b/Source/Process/AgentWorkerEvents.h
@@ -7,7 +7,7 @@
 
 namespace wisteria {
 
-/// Events that the worker reports to the control thread; called on the worker's thread.
+/// Events that the worker reports to the control loop; called on the worker's thread.
 struct AgentWorkerEvents
 {
     /// A peer sent a newer configuration than the agent's.
--- a/Source/Process/BackendHealth.cpp
+++ b/Source/Process/BackendHealth.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-bool noteLossDuringCheck(HealthCheckState &state)
+bool noteLoss(HealthCheckState &state)
 {
     state.connectionLost = state.inProgress;
     return !state.inProgress;
@@ -66,7 +66,7 @@
 
 void BackendHealth::noteConnectionLost()
 {
-    if (noteLossDuringCheck(checkState_))
+    if (noteLoss(checkState_))
         check();
 }
 
--- a/Source/Process/BackendHealth.h
+++ b/Source/Process/BackendHealth.h
@@ -25,7 +25,7 @@
 
 /// Records that the connection of a run was lost. A check in progress may then be out of date.
 /// @return True if no check is in progress, so that one has to be started.
-bool noteLossDuringCheck(HealthCheckState &state);
+bool noteLoss(HealthCheckState &state);
 
 /// Records the end of a check.
 /// @return The condition, or nothing if another check has to be started: if the check succeeded but
--- a/Source/Process/Error.h
+++ b/Source/Process/Error.h
@@ -14,10 +14,10 @@
     BadSettings, ///< The settings or the configuration are malformed or inconsistent.
     BadInput, ///< A message from a caller or a peer is malformed.
     NotFound, ///< The named object does not exist.
-    Conflict, ///< The request is based on a state that is out of date.
+    Conflict, ///< The rules, the operator's permissions or the current state forbid it.
     Unavailable, ///< The peer is unreachable or refuses; the request was not executed.
     OutcomeUnknown, ///< The peer may or may not have executed the request.
-    Timeout, ///< No answer in time; used for reads only, which have no side effects.
+    Timeout, ///< No answer in time; unless the call only reads, the peer may have executed it.
     Internal, ///< A bug in this program.
 };
 
--- a/Source/Programs/Bench/PlacementCommand.cpp
+++ b/Source/Programs/Bench/PlacementCommand.cpp
@@ -18,7 +18,7 @@
     std::string trace;
     std::string policy;
     bool json = false;
-    bool floors = false;
+    bool searchBestMaps = false;
     std::optional<milliseconds> reportLag;
     std::string mapsOut;
     std::string seriesOut;
@@ -48,7 +48,7 @@
     flags.trace = trace.getValue();
     flags.policy = policy.getValue();
     flags.json = json.getValue();
-    flags.floors = floors.getValue();
+    flags.searchBestMaps = floors.getValue();
     flags.mapsOut = maps.getValue();
     flags.seriesOut = series.getValue();
     if (lag.isSet())
@@ -95,8 +95,8 @@
     object["mean_skew"] = result.meanSkew;
     object["p99_skew"] = result.p99Skew;
     object["lower_bound_mean_skew"] = result.lowerBoundMeanSkew;
-    if (result.noiseFreeFloorMeanSkew)
-        object["noise_free_floor_mean_skew"] = *result.noiseFreeFloorMeanSkew;
+    if (result.bestFoundWithoutNoiseMeanSkew)
+        object["noise_free_floor_mean_skew"] = *result.bestFoundWithoutNoiseMeanSkew;
     if (result.bestFoundMeanSkew)
         object["best_found_mean_skew"] = *result.bestFoundMeanSkew;
     object["moves"] = result.moves;
@@ -129,7 +129,7 @@
     if (flags.reportLag && flags.reportLag->count() < 0)
         return failure(ErrorKind::BadInput, "--report-lag-ms is negative; give 0 or more");
     options.reportLag = flags.reportLag;
-    options.floors = flags.floors;
+    options.searchBestMaps = flags.searchBestMaps;
     options.clock = monotonicNow;
     BOOST_OUTCOME_TRY(trace, loadTrace(flags));
     std::ofstream maps;
--- a/Source/Programs/Bench/PlacementReplay.cpp
+++ b/Source/Programs/Bench/PlacementReplay.cpp
@@ -69,7 +69,7 @@
     std::optional<milliseconds> nextTime() const;
     void finishSwitch(milliseconds now);
     void applyLine(const TraceLine &line);
-    void measureFloors(const TraceLine &line);
+    void measureReferenceSkews(const TraceLine &line);
     Result<void> addReports(milliseconds now);
     Result<void> decide(milliseconds now);
     Result<void> stage(milliseconds now, PlacementDecision decision);
@@ -164,10 +164,10 @@
     pending_.reset();
 }
 
-void Replay::measureFloors(const TraceLine &line)
+void Replay::measureReferenceSkews(const TraceLine &line)
 {
     bound_.set(line.layer, line.at, lowerBoundSkew(group_, line.loads));
-    if (!options_.floors)
+    if (!options_.searchBestMaps)
         return;
     const LayerMap &found = bestFoundSearch_.best(group_, line.layer, line.loads);
     bestFound_.set(line.layer, line.at, layerSkew(group_, found, line.loads));
@@ -175,8 +175,8 @@
         hasExpected_ = false;
         return;
     }
-    const LayerMap &floor = noiseFreeSearch_.best(group_, line.layer, line.expected);
-    noiseFree_.set(line.layer, line.at, layerSkew(group_, floor, line.loads));
+    const LayerMap &foundWithoutNoise = noiseFreeSearch_.best(group_, line.layer, line.expected);
+    noiseFree_.set(line.layer, line.at, layerSkew(group_, foundWithoutNoise, line.loads));
 }
 
 void Replay::applyLine(const TraceLine &line)
@@ -190,7 +190,7 @@
         for (std::uint32_t layer = 0; layer < group_.layers; ++layer)
             remeasure(layer, line.at);
     }
-    measureFloors(line);
+    measureReferenceSkews(line);
 }
 
 Result<void> Replay::addReports(milliseconds now)
@@ -279,10 +279,10 @@
     result_.p99Skew = skew_.p99();
     result_.series = skew_.series();
     result_.lowerBoundMeanSkew = bound_.mean();
-    if (options_.floors) {
+    if (options_.searchBestMaps) {
         result_.bestFoundMeanSkew = bestFound_.mean();
         if (hasExpected_)
-            result_.noiseFreeFloorMeanSkew = noiseFree_.mean();
+            result_.bestFoundWithoutNoiseMeanSkew = noiseFree_.mean();
     }
     result_.stalled = result_.switches * group_.stepTime;
     result_.duration = end_ - begin_;
--- a/Source/Programs/Bench/PlacementReplay.h
+++ b/Source/Programs/Bench/PlacementReplay.h
@@ -17,7 +17,7 @@
     /// line, as loads are counted only after they were processed.
     std::optional<milliseconds> reportLag;
     /// Whether to also search the best maps regardless of cost, which takes longer.
-    bool floors = false;
+    bool searchBestMaps = false;
     /// Clock that measures how long decisions take; the replay itself runs in virtual time.
     std::function<TimePoint()> clock;
     /// Called with each layer's map as it comes into force.
@@ -40,7 +40,7 @@
     double lowerBoundMeanSkew = 1;
     /// Mean skew, under the actual loads, of the best maps found for the noise-free loads, in force
     /// immediately and without cost; absent when not requested or when the trace lacks those loads.
-    std::optional<double> noiseFreeFloorMeanSkew;
+    std::optional<double> bestFoundWithoutNoiseMeanSkew;
     /// The same for the best maps found for the actual loads, with the noise known in advance.
     std::optional<double> bestFoundMeanSkew;
     std::uint64_t moves = 0;
@@ -54,8 +54,9 @@
     std::vector<SkewSample> series;
 };
 
-/// Replays a trace in virtual time. New weights are staged one after another at the store's rate;
-/// then all layers of a decision switch together, which stalls the group for one step.
+/// Replays a trace in virtual time. New weights are staged one after another at the rate of
+/// the weight store; then all layers of a decision switch together, which stalls the group for one
+/// step.
 /// @return BadInput for a trace without a duration.
 Result<ReplayResult> replayTrace(const LoadTrace &trace, const ReplayOptions &options);
 
--- a/Source/Programs/Bench/TraceCommand.cpp
+++ b/Source/Programs/Bench/TraceCommand.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Flags. The defaults describe a small group of 16 ranks; its store copies all weights of a new
-/// map in 8 s.
+/// Flags. The defaults describe a small group of 16 ranks; its weight store copies all
+/// weights of a new map in 8 s.
 class TraceFlags
 {
 public:
--- a/Tests/Connection/CallerServerTest.cpp
+++ b/Tests/Connection/CallerServerTest.cpp
@@ -60,9 +60,9 @@
     }
 
 private:
-    static CallerLimits limits()
+    static CallerServerLimits limits()
     {
-        CallerLimits limits;
+        CallerServerLimits limits;
         limits.maxBodyBytes = 1000;
         limits.connectionBytes = 8192;
         return limits;
--- a/Tests/Process/BackendHealthTest.cpp
+++ b/Tests/Process/BackendHealthTest.cpp
@@ -10,7 +10,7 @@
 TEST_CASE("A check that began before a connection was lost does not prove the server healthy")
 {
     HealthCheckState state{.inProgress = true};
-    CHECK_FALSE(noteLossDuringCheck(state));
+    CHECK_FALSE(noteLoss(state));
     CHECK_FALSE(finishCheck(state, BackendCallEnd::Complete).has_value());
     state.inProgress = true;
     CHECK(finishCheck(state, BackendCallEnd::NotConnected) == BackendCondition::Dead);
@@ -19,7 +19,7 @@
 TEST_CASE("The result of a check that began after a connection was lost is used")
 {
     HealthCheckState state;
-    CHECK(noteLossDuringCheck(state));
+    CHECK(noteLoss(state));
     state.inProgress = true;
     CHECK(finishCheck(state, BackendCallEnd::Complete) == BackendCondition::Up);
 }
--- a/Tests/Process/EventLoopTest.cpp
+++ b/Tests/Process/EventLoopTest.cpp
@@ -60,8 +60,8 @@
     close(ends[1]);
 }
 
-// Failure: an idle process uses 5% of a core. The reactor truncates its wait to whole milliseconds,
-// so it polls in a busy loop during the last millisecond before a timer.
+// Failure: an idle process uses noticeable processor time. The reactor truncates its wait to whole
+// milliseconds, so it polls in a busy loop during the last millisecond before a timer.
 TEST_CASE("Waiting for timers uses almost no processor time")
 {
     EventLoop loop;
--- a/Tests/Sessions/FaultSessionTest.cpp
+++ b/Tests/Sessions/FaultSessionTest.cpp
@@ -47,8 +47,9 @@
     CHECK_FALSE((cut.status == 200 && cut.complete));
 }
 
-// Guards against a door that opens twice: the backend server dies after it ran the request and
-// before it answered, the caller repeats the key, and the restarted backend server runs it again.
+// Guards against a request that runs twice, such as one that opens a door: the backend
+// server dies after it ran the request and before it answered, the caller repeats the key, and the
+// restarted backend server runs it again.
 TEST_CASE("A keyed request whose backend server died is never run again")
 {
     TestSystem system({.entries = 2, .backendServers = 2});
--- a/Tests/Sessions/FaultProxy.cpp
+++ b/Tests/Sessions/StallingProxy.cpp
@@ -1,4 +1,4 @@
-#include "Sessions/FaultProxy.h"
+#include "Sessions/StallingProxy.h"
 
 #include <map>
 #include <thread>
@@ -43,7 +43,7 @@
 
 } // namespace
 
-class FaultProxy::Private
+class StallingProxy::Private
 {
 public:
     explicit Private(const std::string &target)
@@ -128,21 +128,23 @@
     std::thread thread_;
 };
 
-FaultProxy::FaultProxy(const std::string &target) : private_(std::make_unique<Private>(target)) { }
+StallingProxy::StallingProxy(const std::string &target)
+    : private_(std::make_unique<Private>(target))
+{ }
 
-FaultProxy::~FaultProxy() = default;
+StallingProxy::~StallingProxy() = default;
 
-const std::string &FaultProxy::address() const
+const std::string &StallingProxy::address() const
 {
     return private_->address_;
 }
 
-void FaultProxy::cut()
+void StallingProxy::cut()
 {
     private_->loop_.post([this] { private_->closeAll(); });
 }
 
-void FaultProxy::stall(bool stalled)
+void StallingProxy::stall(bool stalled)
 {
     private_->loop_.post([this, stalled] { private_->stallAll(stalled); });
 }
--- a/Tests/Sessions/FaultProxy.h
+++ b/Tests/Sessions/StallingProxy.h
@@ -7,12 +7,12 @@
 
 /// TCP proxy that simulates network faults: forwards connections to a target, and stalls or cuts
 /// them when a test asks for it.
-class FaultProxy
+class StallingProxy
 {
 public:
     /// @param target "IP:PORT".
-    explicit FaultProxy(const std::string &target);
-    ~FaultProxy();
+    explicit StallingProxy(const std::string &target);
+    ~StallingProxy();
 
     /// Listening address, "127.0.0.1:PORT".
     const std::string &address() const;
--- a/Tests/Sessions/TestSystem.cpp
+++ b/Tests/Sessions/TestSystem.cpp
@@ -72,7 +72,7 @@
         startAgent(i, "127.0.0.1:0");
         agentAddresses_.push_back(agents_[i]->address("peer"));
         if (options.useProxies)
-            proxies_.push_back(std::make_unique<FaultProxy>(agentAddresses_[i]));
+            proxies_.push_back(std::make_unique<StallingProxy>(agentAddresses_[i]));
     }
     const std::uint64_t version = applyInitialConfig();
     for (std::size_t i = 0; i < options.entries; ++i)
--- a/Tests/Sessions/TestSystem.h
+++ b/Tests/Sessions/TestSystem.h
@@ -9,8 +9,8 @@
 
 #include "Config.pb.h"
 #include "Sessions/ChildProcess.h"
-#include "Sessions/FaultProxy.h"
 #include "Sessions/HttpCall.h"
+#include "Sessions/StallingProxy.h"
 
 namespace wisteria::sessions {
 
@@ -57,7 +57,7 @@
     ChildProcess &agent(std::size_t i) { return *agents_.at(i); }
     ChildProcess &backend(std::size_t i) { return *backends_.at(i); }
     /// Proxy between all entries and an agent; only with TestSystemOptions::useProxies.
-    FaultProxy &proxy(std::size_t i) { return *proxies_.at(i); }
+    StallingProxy &proxy(std::size_t i) { return *proxies_.at(i); }
 
     std::string callerUrl(std::size_t entry, const std::string &service) const;
     HttpCallRequest httpRequestFor(std::size_t entry, const TestRequest &request) const;
@@ -117,7 +117,7 @@
     std::vector<std::unique_ptr<ChildProcess>> backends_;
     std::vector<std::unique_ptr<ChildProcess>> agents_;
     std::vector<std::unique_ptr<ChildProcess>> entries_;
-    std::vector<std::unique_ptr<FaultProxy>> proxies_;
+    std::vector<std::unique_ptr<StallingProxy>> proxies_;
     /// Offset of the last change of each object, by object name.
     std::map<std::string, std::uint64_t> versions_;
     std::vector<std::string> agentAddresses_;
--- a/Tests/Soak/SoakFleet.h
+++ b/Tests/Soak/SoakFleet.h
@@ -34,7 +34,7 @@
     std::vector<std::string> violations_;
 };
 
-/// A gateway that runs as a separate process and reaches the store through a proxy.
+/// A gateway that runs as a separate process and reaches the configuration store through a proxy.
 class GatewayProcess
 {
 public:
@@ -75,7 +75,7 @@
     Backoff, ///< It refuses requests with a Retry-After header.
 };
 
-/// Backend servers and the store, each behind a fault proxy, and the gateways.
+/// Backend servers and the configuration store, each behind a fault proxy, and the gateways.
 class Fleet
 {
 public:
@@ -94,7 +94,7 @@
     {
         signals_.at(server) = serverSignal;
     }
-    /// Writes a server's record in the store as draining or ready.
+    /// Writes a server's record in the configuration store as draining or ready.
     void setDraining(std::size_t server, bool draining);
 
 private:
