--- a/Source/Connection/CallerProtocol.cpp
+++ b/Source/Connection/CallerProtocol.cpp
@@ -191,7 +191,7 @@
     BOOST_OUTCOME_TRY(deadlineMs, numberHeader(http, "wisteria-deadline-ms", maxDeadlineMs));
     BOOST_OUTCOME_TRY(idempotent, readIdempotent(http));
     BOOST_OUTCOME_TRY(
-        callerAttempt,
+        callerTry,
         numberHeader(http, "wisteria-attempt", std::numeric_limits<std::uint32_t>::max()));
     CallerRequest request;
     request.id = std::move(id);
@@ -205,7 +205,7 @@
     request.priority = priority;
     request.deadline = milliseconds(deadlineMs);
     request.idempotent = idempotent;
-    request.callerAttempt = callerAttempt;
+    request.callerTry = callerTry;
     BOOST_OUTCOME_TRYV(readKey(http, request));
     request.fingerprint = hashOf(http.body, hashOf(request.service, 0));
     request.prefix = prefixOf(http);
--- a/Source/Connection/CallerServer.cpp
+++ b/Source/Connection/CallerServer.cpp
@@ -20,7 +20,7 @@
 
 constexpr int listenBacklog = 1024;
 constexpr std::size_t streamBlockBytes = 16 * 1024;
-/// callerDrained() is called when the queue of a streamed answer shrinks from more than this size
+/// callerCaughtUp() is called when the queue of a streamed answer shrinks from more than this size
 /// to at most this size.
 constexpr std::size_t lowWatermarkBytes = 16 * 1024;
 /// Interval of the check for idle connections.
@@ -178,7 +178,7 @@
             aboveLowWatermark_ = false;
             Private *server = server_;
             server->loop_.defer([server, exchange = shared_from_this()] {
-                server->service_.callerDrained(*exchange);
+                server->service_.callerCaughtUp(*exchange);
             });
         }
 
--- a/Source/Connection/CallerServer.h
+++ b/Source/Connection/CallerServer.h
@@ -61,7 +61,7 @@
     virtual void callerLeft(CallerExchange &exchange) = 0;
 
     /// The queue of a streamed answer has fallen to the low watermark; more bytes may be written.
-    virtual void callerDrained(CallerExchange &exchange) { static_cast<void>(exchange); }
+    virtual void callerCaughtUp(CallerExchange &exchange) { static_cast<void>(exchange); }
 };
 
 /// Limits of what callers may send and of their connections.
--- a/Source/Process/AgentPeerCalls.cpp
+++ b/Source/Process/AgentPeerCalls.cpp
@@ -63,7 +63,7 @@
     heartbeat.set_role("agent");
     heartbeat.set_incarnation(identity_.incarnation);
     heartbeat.set_config_version(admission_.configVersion);
-    heartbeat.set_state(admission_.leaving ? "leaving" : "serving");
+    heartbeat.set_state(admission_.draining ? "leaving" : "serving");
     *heartbeat.mutable_load() = loadReport(admission_);
     for (const v1::SuspectReport &report : suspectReports(admission_.suspects, now))
         *heartbeat.add_suspects() = report;
--- a/Source/Process/EntryWorker.cpp
+++ b/Source/Process/EntryWorker.cpp
@@ -108,10 +108,10 @@
             session->callerGone();
     }
 
-    void callerDrained(CallerExchange &exchange) override
+    void callerCaughtUp(CallerExchange &exchange) override
     {
         if (const auto session = find(exchange))
-            session->callerDrained();
+            session->callerCaughtUp();
     }
 
     void run() { loop_.run(); }
--- a/Source/Programs/Gateway/Exchange.cpp
+++ b/Source/Programs/Gateway/Exchange.cpp
@@ -51,7 +51,7 @@
 
 } // namespace
 
-Exchange::Exchange(GatewayContext &context, AnswerSink &sink, CallerRequest request, Access access,
+Exchange::Exchange(GatewayContext &context, AnswerSink &sink, GatewayRequest request, Access access,
                    std::string service, TimePoint arrived)
     : context_(context), sink_(sink), request_(std::move(request)), routes_(context.routes),
       route_(*access.route), priority_(access.priority()), service_(std::move(service)),
--- a/Source/Programs/Gateway/Exchange.h
+++ b/Source/Programs/Gateway/Exchange.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "Programs/Gateway/GatewayContext.h"
-#include "Request/CallerRequest.h"
 #include "Request/EventSplitter.h"
+#include "Request/GatewayRequest.h"
 #include "Request/RetryDecision.h"
 
 namespace wisteria {
@@ -39,7 +39,7 @@
 {
 public:
     /// @param arrived When the request arrived; it may have waited for a configuration since then.
-    Exchange(GatewayContext &context, AnswerSink &sink, CallerRequest request, Access access,
+    Exchange(GatewayContext &context, AnswerSink &sink, GatewayRequest request, Access access,
              std::string service, TimePoint arrived);
     ~Exchange();
     Exchange(const Exchange &) = delete;
@@ -90,7 +90,7 @@
 
     GatewayContext &context_;
     AnswerSink &sink_;
-    CallerRequest request_;
+    GatewayRequest request_;
     /// Keeps the route of the request alive when a new configuration replaces it.
     std::shared_ptr<const RouteTable> routes_;
     const RouteRule &route_;
--- a/Source/Programs/Gateway/Gateway.cpp
+++ b/Source/Programs/Gateway/Gateway.cpp
@@ -128,7 +128,7 @@
         configurationWatch_ = std::make_unique<StoreWatch>(
             loop_, pool_, log_, metrics_, settings_.storeEndpoint,
             WatchPlan{"configuration", platform::operatorTopic,
-                      configurationWait(settings_.configurationApplyTime), milliseconds(0)},
+                      configurationLongPollTime(settings_.configurationApplyTime), milliseconds(0)},
             WatchEvents{.record = [this](const auto &record) { applyConfiguration(record); },
                         .snapshot =
                             [this](const auto &records) {
--- a/Source/Programs/Gateway/Session.cpp
+++ b/Source/Programs/Gateway/Session.cpp
@@ -75,7 +75,7 @@
         waitForConfiguration(std::move(decoded.value()), now);
 }
 
-void Session::waitForConfiguration(CallerRequest request, TimePoint now)
+void Session::waitForConfiguration(GatewayRequest request, TimePoint now)
 {
     std::optional<TimePoint> deadline;
     if (request.timeLeft)
@@ -105,7 +105,7 @@
                           "no configuration is known yet");
 }
 
-void Session::admit(CallerRequest request, TimePoint arrived, TimePoint now)
+void Session::admit(GatewayRequest request, TimePoint arrived, TimePoint now)
 {
     const std::string id = request.attemptId;
     const Access access = accessOf(*context_.routes, request.host, request.path(),
--- a/Source/Programs/Gateway/Session.h
+++ b/Source/Programs/Gateway/Session.h
@@ -39,16 +39,16 @@
     /// A request that arrived before a configuration and the backend servers were known.
     struct EarlyRequest
     {
-        CallerRequest request;
+        GatewayRequest request;
         TimePoint arrived;
         TimePoint waitUntil;
     };
 
     void startRequest(HttpRequest request);
-    void waitForConfiguration(CallerRequest request, TimePoint now);
+    void waitForConfiguration(GatewayRequest request, TimePoint now);
     void checkEarly(TimePoint now);
     void logEarlyAbandoned();
-    void admit(CallerRequest request, TimePoint arrived, TimePoint now);
+    void admit(GatewayRequest request, TimePoint arrived, TimePoint now);
     void onFault(RequestFault fault);
     void answerWithoutExchange(int status, const std::string &attemptId, milliseconds retryAfter,
                                const char *reason);
--- a/Source/Programs/Gateway/StorePolling.h
+++ b/Source/Programs/Gateway/StorePolling.h
@@ -35,7 +35,7 @@
 }
 
 /// How long the store may hold a read of the configuration that finds no change.
-inline milliseconds configurationWait(milliseconds configurationTime)
+inline milliseconds configurationLongPollTime(milliseconds configurationTime)
 {
     return std::chrono::duration_cast<milliseconds>(configurationTime * configurationFraction);
 }
--- a/Source/Request/AdmissionChecks.cpp
+++ b/Source/Request/AdmissionChecks.cpp
@@ -19,7 +19,7 @@
         return refuseUnsent(state, run, v1::REASON_STARTING, longAdmissionRetry);
     if (run.head.service() != state.service.name())
         return refuseUnsent(state, run, v1::REASON_WRONG_SERVICE, milliseconds(0));
-    if (state.leaving || state.declared.draining())
+    if (state.draining || state.declared.draining())
         return refuseUnsent(state, run, v1::REASON_LEAVING, longAdmissionRetry);
     // The entry has a newer configuration, which may have moved the key to another owner or removed
     // the service.
--- a/Source/Request/AdmissionConfiguration.cpp
+++ b/Source/Request/AdmissionConfiguration.cpp
@@ -93,7 +93,7 @@
     report.set_queued(state.queue.size());
     report.set_concurrency(slots(state));
     report.set_service_time_us(state.serviceTime.count());
-    report.set_leaving(state.leaving || state.declared.draining());
+    report.set_leaving(state.draining || state.declared.draining());
     report.set_backend_down(!state.backendUp || state.backendStalled);
     return report;
 }
--- a/Source/Request/AgentAdmission.cpp
+++ b/Source/Request/AgentAdmission.cpp
@@ -160,7 +160,7 @@
 
 AdmissionActions beginDraining(AdmissionState &state, TimePoint)
 {
-    state.leaving = true;
+    state.draining = true;
     AdmissionActions actions;
     refuseQueued(state, v1::REASON_LEAVING, longAdmissionRetry, actions,
                  [](const AgentAttempt &) { return true; });
--- a/Source/Request/AgentAdmission.h
+++ b/Source/Request/AgentAdmission.h
@@ -53,7 +53,7 @@
     v1::BackendServer declared;
     v1::Service service;
     bool configured = false;
-    bool leaving = false;
+    bool draining = false;
     bool backendUp = true;
     /// The backend server's process runs, but does not answer its health check in time.
     bool backendStalled = false;
--- a/Source/Request/AttemptQueue.h
+++ b/Source/Request/AttemptQueue.h
@@ -30,7 +30,8 @@
 /// Whether the attempt's deadline has passed; false if the queueDeadline guard is off.
 bool pastDeadline(const AdmissionState &state, const AgentAttempt &run, TimePoint now);
 
-/// Time until a request of this priority would start; zero when it can start at once.
+/// Time until a request of this priority would start; zero when it can start at once. The largest
+/// number is served first; the gateway's scale is the reverse.
 microseconds expectedQueueTime(const AdmissionState &state, std::uint32_t priority);
 
 /// Queues an attempt behind those of the same priority and before those of lower priority.
--- a/Source/Request/BackendRegistry.cpp
+++ b/Source/Request/BackendRegistry.cpp
@@ -22,7 +22,7 @@
 /// with eleven slots. Traffic between domains is expensive and adds latency.
 constexpr double crossDomainPenalty = 0.09;
 
-/// A server without an entry counts as gone this long after it announced that it drains.
+/// A server without a store entry counts as gone this long after it announced that it drains.
 constexpr std::chrono::minutes drainingLifetime{10};
 
 bool wasTried(const BackendCriteria &criteria, const std::string &id)
@@ -31,7 +31,7 @@
 }
 
 /// A backend server that may get the request, with the properties that rank it.
-struct Candidate
+struct RankedBackend
 {
     BackendState *state = nullptr;
     double load = 0;
@@ -41,7 +41,7 @@
 
     double cost() const { return load + (otherDomain ? crossDomainPenalty : 0); }
 
-    bool isBetterThan(const Candidate &other) const
+    bool isBetterThan(const RankedBackend &other) const
     {
         if (overFreeShare != other.overFreeShare)
             return !overFreeShare;
@@ -51,11 +51,11 @@
     }
 };
 
-/// Drops slow backend servers unless all are slow, even if the others are full: a single request on
-/// a slow rank slows down the passes of its whole group.
-void dropSlow(std::vector<Candidate> &candidates, TimePoint now, milliseconds loadLifetime)
+/// Drops the slow ones of `candidates` unless all of them are slow, even if the others are full: a
+/// single request on a slow rank slows down the passes of its whole group.
+void dropSlow(std::vector<RankedBackend> &candidates, TimePoint now, milliseconds loadLifetime)
 {
-    const auto slow = [&](const Candidate &candidate) {
+    const auto slow = [&](const RankedBackend &candidate) {
         return slowdownOf(*candidate.state, now, loadLifetime) >= moveAtSlowdown;
     };
     if (!std::all_of(candidates.begin(), candidates.end(), slow))
@@ -64,15 +64,15 @@
 
 /// Returns the best candidate, or null when there is none. The search begins at a random index, so
 /// that equal candidates share the work.
-const Candidate *bestOf(const std::vector<Candidate> &candidates, double randomUnit)
+const RankedBackend *bestOf(const std::vector<RankedBackend> &candidates, double randomUnit)
 {
     if (candidates.empty())
         return nullptr;
     const auto start =
         static_cast<std::size_t>(randomUnit * static_cast<double>(candidates.size()));
-    const Candidate *best = &candidates[start % candidates.size()];
+    const RankedBackend *best = &candidates[start % candidates.size()];
     for (std::size_t i = 1; i < candidates.size(); ++i) {
-        const Candidate &next = candidates[(start + i) % candidates.size()];
+        const RankedBackend &next = candidates[(start + i) % candidates.size()];
         if (next.isBetterThan(*best))
             best = &next;
     }
@@ -82,23 +82,23 @@
 /// Returns the id of the best backend server at its limit that is better than the chosen one; empty
 /// when there is none. A server is skipped until its next permit request is due: its limit owner
 /// has just had nothing to grant, and another server's may have.
-std::string preferredAtLimitOf(const ServerLimits &limits, std::vector<Candidate> atLimit,
-                               const Candidate *chosen, double randomUnit, TimePoint now)
+std::string preferredAtLimitOf(const ServerLimits &limits, std::vector<RankedBackend> atLimit,
+                               const RankedBackend *chosen, double randomUnit, TimePoint now)
 {
-    std::erase_if(atLimit, [&](const Candidate &candidate) {
+    std::erase_if(atLimit, [&](const RankedBackend &candidate) {
         const bool worse = chosen != nullptr && !candidate.isBetterThan(*chosen);
         return worse || limits.at(candidate.state->entry.id).nextRequestAt > now;
     });
-    const Candidate *best = bestOf(atLimit, randomUnit);
+    const RankedBackend *best = bestOf(atLimit, randomUnit);
     return best == nullptr ? std::string() : best->state->entry.id;
 }
 
 /// Returns the earliest time at which a permit may be granted for one of the candidates.
-TimePoint earliestPermit(const ServerLimits &limits, const std::vector<Candidate> &atLimit,
+TimePoint earliestPermit(const ServerLimits &limits, const std::vector<RankedBackend> &atLimit,
                          TimePoint now)
 {
     TimePoint earliest = TimePoint::max();
-    for (const Candidate &candidate : atLimit)
+    for (const RankedBackend &candidate : atLimit)
         earliest = std::min(earliest, limits.at(candidate.state->entry.id).nextPermitAt);
     return std::max(earliest, now);
 }
@@ -197,9 +197,9 @@
 struct Candidates
 {
     /// They have no rate limit, or this gateway holds a permit for it.
-    std::vector<Candidate> eligible;
+    std::vector<RankedBackend> eligible;
     /// They have a rate limit, and this gateway holds no permit for it.
-    std::vector<Candidate> atLimit;
+    std::vector<RankedBackend> atLimit;
     Exclusions exclusions;
 };
 
@@ -282,7 +282,7 @@
     if (found == registry.backends.end())
         return;
     std::erase_if(registry.expiredStartTimes,
-                  [&registry](const auto &entry) { return !hasSignals(registry, entry.first); });
+                  [&registry](const auto &item) { return !hasSignals(registry, item.first); });
     if (hasSignals(registry, id))
         registry.expiredStartTimes[id] = found->second.entry.startedAt;
     registry.backends.erase(found);
@@ -362,22 +362,22 @@
 
 void removeExpiredLimits(BackendRegistry &registry, TimePoint now)
 {
-    std::erase_if(registry.limits, [&registry, now](const auto &entry) {
-        return isExpired(entry.second.advertised, now) && !registry.backends.contains(entry.first);
+    std::erase_if(registry.limits, [&registry, now](const auto &item) {
+        return isExpired(item.second.advertised, now) && !registry.backends.contains(item.first);
     });
 }
 
 void noteBackoff(BackendRegistry &registry, const std::string &id, TimePoint until, TimePoint now)
 {
-    std::erase_if(registry.backoffUntil, [now](const auto &entry) { return entry.second <= now; });
+    std::erase_if(registry.backoffUntil, [now](const auto &item) { return item.second <= now; });
     TimePoint &known = registry.backoffUntil[id];
     known = std::max(known, until);
 }
 
 bool noteDraining(BackendRegistry &registry, const std::string &id, TimePoint now)
 {
-    std::erase_if(registry.drainingSince, [&registry, now](const auto &entry) {
-        return now - entry.second > drainingLifetime && !registry.backends.contains(entry.first);
+    std::erase_if(registry.drainingSince, [&registry, now](const auto &item) {
+        return now - item.second > drainingLifetime && !registry.backends.contains(item.first);
     });
     return registry.drainingSince.try_emplace(id, now).second;
 }
@@ -400,17 +400,17 @@
                             TimePoint now, double randomUnit)
 {
     Candidates candidates = candidatesFor(registry, criteria, now);
-    std::vector<Candidate> &atLimit = candidates.atLimit;
+    std::vector<RankedBackend> &atLimit = candidates.atLimit;
     if (candidates.eligible.empty() && atLimit.empty())
         return noBackendChoice(candidates.exclusions);
     BackendChoice choice;
     dropSlow(candidates.eligible, now, registry.loadLifetime);
     dropSlow(atLimit, now, registry.loadLifetime);
-    const auto hasSlot = [&criteria](const Candidate &candidate) {
+    const auto hasSlot = [&criteria](const RankedBackend &candidate) {
         return candidate.load <= criteria.maxLoad && !candidate.overFreeShare;
     };
     std::erase_if(atLimit, std::not_fn(hasSlot));
-    const Candidate *best = bestOf(candidates.eligible, randomUnit);
+    const RankedBackend *best = bestOf(candidates.eligible, randomUnit);
     const bool found = best != nullptr && hasSlot(*best);
     choice.preferredAtLimit =
         preferredAtLimitOf(registry.limits, atLimit, found ? best : nullptr, randomUnit, now);
--- a/Source/Request/BackendRegistry.h
+++ b/Source/Request/BackendRegistry.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "Process/Time.h"
-#include "Request/CallerRequest.h"
+#include "Request/GatewayRequest.h"
 #include "Request/ServerLimit.h"
 #include "Version/BackendEntry.h"
 
@@ -64,8 +64,8 @@
     TimePoint listReadAt;
     /// When a rank first reported the latest opening of a service's group, by service.
     std::map<std::string, TimePoint> openedAt;
-    /// Limits that backend servers advertised. They outlast an entry that expires temporarily, for
-    /// example in an outage of the store.
+    /// Limits that backend servers advertised. They outlast a store entry that expires temporarily,
+    /// for example in an outage of the store.
     ServerLimits limits;
     /// End of the backoff that each backend server asked this gateway for, by id. Separate from the
     /// entries for the same reason.
@@ -79,8 +79,8 @@
     std::map<std::string, std::uint64_t> expiredStartTimes;
 };
 
-/// Adds or updates a backend server from its entry. A restarted server begins with fresh state,
-/// except for its in-flight count.
+/// Adds or updates a backend server from its entry in the store. A restarted server begins with
+/// fresh state, except for its in-flight count.
 ///
 /// Of two entries with one address, the one that started last is valid; if a start time is unknown,
 /// the one with the later record, because a server that is gone normally writes no more records; if
@@ -89,7 +89,7 @@
 /// send to an old one uses up one of the few sends that a route allows for a request.
 void putBackend(BackendRegistry &registry, const BackendEntry &entry, TimePoint now);
 
-/// Removes a backend server whose entry is gone or unusable.
+/// Removes a backend server whose store entry is gone or unusable.
 void removeBackend(BackendRegistry &registry, const std::string &id);
 
 /// Returns the number of requests expected at a backend server now: the reported count, corrected
@@ -101,7 +101,8 @@
 double slowdownOf(const BackendState &state, TimePoint now, milliseconds loadLifetime);
 
 /// Slowdown from which streams are moved off a backend server, and from which it gets no new
-/// requests while another one is a candidate. In a group every forward pass waits for the slowest
+/// requests while another candidate is not slow; candidates with a free rate limit and those at
+/// their limit are compared separately. In a group every forward pass waits for the slowest
 /// rank: a few streams on a slow rank delay the events of all others, while moving a stream costs
 /// one prompt prefill.
 constexpr double moveAtSlowdown = 2.0;
@@ -119,7 +120,7 @@
 /// Open reports from ranks of one group within this time belong to the same opening.
 constexpr milliseconds openingSpread{1000};
 
-/// Records that all entries reflect the state of the store at `at`.
+/// Records that all store entries reflect the state of the store at `at`.
 void noteListRead(BackendRegistry &registry, TimePoint at);
 
 /// Detects from a new report that a group opens. Call it before noteLoad().
@@ -167,7 +168,7 @@
 void noteAnswer(BackendState &state, const AnswerFeedback &feedback, bool inGroup, TimePoint now,
                 double randomUnit);
 
-/// Removes expired limits of servers that have no entry.
+/// Removes expired limits of servers that have no store entry.
 void removeExpiredLimits(BackendRegistry &registry, TimePoint now);
 
 /// Records that this gateway sends nothing to a backend server before `until`. An earlier end never
@@ -235,9 +236,11 @@
 
 /// Chooses a backend server for a request.
 ///
-/// Slow servers are dropped unless all are slow. Of the others, servers within this gateway's share
-/// of free slots are preferred, then those that are not avoided, then the one with the lowest cost:
-/// loadWithOneMore() plus a penalty for another failure domain.
+/// Slow servers are dropped unless all are slow; this applies separately to the servers that are at
+/// their rate limit and to the others. Servers over `maxLoad` or, with `withinFreeShare`, over this
+/// gateway's share of free slots are never chosen. Of the rest, those that are not avoided come
+/// first, then the one with the lowest cost: loadWithOneMore() plus a penalty for another failure
+/// domain.
 ///
 /// The counts of one gateway suffice for evenly spread arrivals. Bursts from several gateways at
 /// once are balanced by the load reports, which are normally at most 0.1 s old.
--- a/Source/Request/CallerSession.cpp
+++ b/Source/Request/CallerSession.cpp
@@ -88,7 +88,7 @@
     finish("caller_left", "none");
 }
 
-void CallerSession::callerDrained()
+void CallerSession::callerCaughtUp()
 {
     if (!std::exchange(paused_, false) || !client_)
         return;
--- a/Source/Request/CallerSession.h
+++ b/Source/Request/CallerSession.h
@@ -40,7 +40,7 @@
     void callerGone();
 
     /// Resumes reading from the agent because the caller has read what was queued for it.
-    void callerDrained();
+    void callerCaughtUp();
 
 private:
     class Attempt;
--- a/Source/Request/EntryRequest.cpp
+++ b/Source/Request/EntryRequest.cpp
@@ -55,7 +55,7 @@
     if (request.mayHaveRun && state.guards.rememberMayHaveRun)
         return EndKind::OutcomeUnknown;
     const CallerRequest &caller = request.request;
-    const bool repeat = !caller.idempotent && caller.callerAttempt != 1;
+    const bool repeat = !caller.idempotent && caller.callerTry != 1;
     if (repeat && state.guards.repeatsNeedProof)
         return EndKind::OutcomeUnknown;
     return EndKind::NotRun;
@@ -89,7 +89,7 @@
     head.set_remaining_ms(remaining(now, request.deadline).count());
     head.set_idempotent(caller.idempotent);
     head.set_key(caller.key);
-    head.set_caller_attempt(caller.callerAttempt);
+    head.set_caller_attempt(caller.callerTry);
     head.set_fingerprint(caller.fingerprint);
     head.set_prefix(caller.prefix);
     head.set_config_version(state.configVersion);
@@ -138,7 +138,7 @@
     // Silence may just mean a long request. Only the owner can run this one, so a silent owner is
     // used; it is excluded only if it is down, draining or ejected.
     if (candidate && (!isAvailable(*candidate) || now < candidate->ejectedUntil)) {
-        const auto reason = candidate->leaving ? v1::REASON_LEAVING : v1::REASON_BACKEND_DOWN;
+        const auto reason = candidate->draining ? v1::REASON_LEAVING : v1::REASON_BACKEND_DOWN;
         return refuseRequest(state, shared, request, reason, longRetry);
     }
     if (request.runAlone && !maySendSuspectToOwner(state, shared, request))
--- a/Source/Request/EntryState.h
+++ b/Source/Request/EntryState.h
@@ -28,6 +28,7 @@
     std::string id;
     std::string service;
     std::string organisation;
+    /// The largest number is served first; the gateway's scale is the reverse.
     std::uint32_t priority = 0;
     /// Time limit set by the caller; zero for the service's default.
     milliseconds deadline{0};
@@ -36,7 +37,7 @@
     std::string key;
     /// Number of this try with the key, as the caller counts; 1 means that the key is new, 0 that
     /// the caller does not count.
-    std::uint32_t callerAttempt = 0;
+    std::uint32_t callerTry = 0;
     /// Hash of service and body.
     std::uint64_t fingerprint = 0;
     /// Hash of the prompt's prefix; 0 for none.
@@ -111,6 +112,7 @@
 {
     CallerRequest request;
     TimePoint deadline;
+    /// The largest number is served first; the gateway's scale is the reverse.
     std::uint32_t priority = 0;
     std::uint32_t attempt = 0;
     /// Backend server of the outstanding attempt.
--- a/Source/Request/CallerRequest.h
+++ b/Source/Request/GatewayRequest.h
@@ -10,13 +10,13 @@
 namespace wisteria {
 
 /// One HTTP request of a caller, decoded.
-struct CallerRequest
+struct GatewayRequest
 {
     std::string method;
     /// Path and query, unchanged.
     std::string target;
     std::string host;
-    /// Identifies this attempt; a retry by the caller has another id.
+    /// Identifies this try of the caller; a retry by the caller has another id.
     std::string attemptId;
     /// How long the caller waits for the answer, counted from the arrival of the request.
     std::optional<milliseconds> timeLeft;
--- a/Source/Request/KeyOwnership.cpp
+++ b/Source/Request/KeyOwnership.cpp
@@ -15,11 +15,11 @@
 
 /// Members that may have run keys which this backend server owns in the new version. Rendezvous
 /// hashing moves a key to an existing member only if its former owner is no longer a member.
-std::vector<Release> requiredReleases(const KeyOwnership &ownership,
-                                      const std::vector<std::string> &newNames, bool everyMember,
-                                      std::uint64_t version)
+std::vector<ReleaseStatus> requiredReleases(const KeyOwnership &ownership,
+                                            const std::vector<std::string> &newNames,
+                                            bool everyMember, std::uint64_t version)
 {
-    std::vector<Release> releases;
+    std::vector<ReleaseStatus> releases;
     for (const OwnerCandidate &member : ownership.members) {
         if (member.name == ownership.ownName)
             continue;
@@ -30,9 +30,9 @@
 }
 
 /// Merges the two oldest sets into one that blocks at least the keys that they blocked.
-void mergeOldest(std::vector<FormerOwners> &former)
+void mergeOldest(std::vector<FormerCandidates> &former)
 {
-    FormerOwners &first = former[0];
+    FormerCandidates &first = former[0];
     first.anyMember = true;
     first.names.clear();
     first.releases.insert(first.releases.end(), former[1].releases.begin(),
@@ -40,7 +40,7 @@
     former.erase(former.begin() + 1);
 }
 
-void addFormerOwners(KeyOwnership &ownership, FormerOwners set)
+void addFormerCandidates(KeyOwnership &ownership, FormerCandidates set)
 {
     if (set.releases.empty())
         return;
@@ -57,7 +57,7 @@
     return names;
 }
 
-OwnershipStatus statusAfter(const Release &release, WallTime time)
+OwnershipStatus statusAfter(const ReleaseStatus &release, WallTime time)
 {
     if (!release.releasedAt)
         return OwnershipStatus::Unproven;
@@ -68,14 +68,14 @@
     return OwnershipStatus::Owned;
 }
 
-OwnershipStatus statusAfter(const FormerOwners &set, const KeyOwnership &ownership,
+OwnershipStatus statusAfter(const FormerCandidates &set, const KeyOwnership &ownership,
                             std::string_view key, WallTime time)
 {
     OwnershipStatus status = OwnershipStatus::Owned;
     const auto owner = set.anyMember ? std::nullopt : rendezvousChoice(key, set.names);
     if (owner && *owner == ownership.ownName)
         return status;
-    for (const Release &release : set.releases) {
+    for (const ReleaseStatus &release : set.releases) {
         if (owner && release.member.name != *owner)
             continue;
         const OwnershipStatus after = statusAfter(release, time);
@@ -96,11 +96,11 @@
     if (!ownership.begun || !contiguous) {
         // The previous declaration is not known, so any declared member may have been the owner.
         ownership.members = members;
-        addFormerOwners(ownership,
-                        {{}, true, requiredReleases(ownership, newNames, true, version)});
+        addFormerCandidates(ownership,
+                            {{}, true, requiredReleases(ownership, newNames, true, version)});
     } else {
         const bool wasMember = contains(ownership.names, ownership.ownName);
-        addFormerOwners(
+        addFormerCandidates(
             ownership,
             {ownership.names, false, requiredReleases(ownership, newNames, !wasMember, version)});
     }
@@ -120,7 +120,7 @@
     if (!isOwner(ownership, key))
         return OwnershipStatus::NotOwner;
     OwnershipStatus status = OwnershipStatus::Owned;
-    for (const FormerOwners &set : ownership.former) {
+    for (const FormerCandidates &set : ownership.former) {
         const OwnershipStatus after = statusAfter(set, ownership, key, time);
         if (after == OwnershipStatus::Unproven)
             return after;
@@ -133,8 +133,8 @@
 std::vector<HandoverRequest> pendingReleases(const KeyOwnership &ownership)
 {
     std::vector<HandoverRequest> wanted;
-    for (const FormerOwners &set : ownership.former) {
-        for (const Release &release : set.releases) {
+    for (const FormerCandidates &set : ownership.former) {
+        for (const ReleaseStatus &release : set.releases) {
             if (release.releasedAt)
                 continue;
             v1::KeyHandover message;
@@ -150,8 +150,8 @@
 void noteReleased(KeyOwnership &ownership, const std::string &formerOwner, std::uint64_t version,
                   WallTime wall)
 {
-    for (FormerOwners &set : ownership.former) {
-        for (Release &release : set.releases) {
+    for (FormerCandidates &set : ownership.former) {
+        for (ReleaseStatus &release : set.releases) {
             const bool covered = release.member.name == formerOwner && release.version <= version;
             if (covered && !release.releasedAt)
                 release.releasedAt = wall;
@@ -161,8 +161,8 @@
 
 void releaseByVm(KeyOwnership &ownership, const std::string &vm, WallTime wall)
 {
-    for (FormerOwners &set : ownership.former) {
-        for (Release &release : set.releases) {
+    for (FormerCandidates &set : ownership.former) {
+        for (ReleaseStatus &release : set.releases) {
             if (release.member.vm == vm && !release.releasedAt)
                 release.releasedAt = wall;
         }
--- a/Source/Request/KeyOwnership.h
+++ b/Source/Request/KeyOwnership.h
@@ -12,8 +12,8 @@
 
 namespace wisteria {
 
-/// Number of former sets of owners that are kept, because keys of their time may still be repeated.
-/// Beyond it the two oldest are merged.
+/// Number of former sets of possible owners that are kept, because keys of their time may still be
+/// repeated. Beyond it the two oldest are merged.
 constexpr std::size_t maxFormerOwnerSets = 16;
 
 /// Handover request that a new owner sends to a former one.
@@ -35,8 +35,8 @@
     bool operator==(const OwnerCandidate &) const = default;
 };
 
-/// Whether and when a former owner released its keys.
-struct Release
+/// Whether and when a possible former owner released its keys; it may not have done so yet.
+struct ReleaseStatus
 {
     OwnerCandidate member;
     /// Version of the configuration from which on the keys belong to the new owner.
@@ -44,15 +44,15 @@
     std::optional<WallTime> releasedAt;
 };
 
-/// The owners before a change, and which of them have released their keys since.
-struct FormerOwners
+/// The possible owners before a change, and which of them have released their keys since.
+struct FormerCandidates
 {
     std::vector<std::string> names;
     /// Any other declared backend server may have been the owner, because the previous declaration
     /// is not known (at the process's start or after an unseen version), or because sets were
     /// merged.
     bool anyMember = false;
-    std::vector<Release> releases;
+    std::vector<ReleaseStatus> releases;
 };
 
 /// Keys that a backend server owns by the version in force, and former owners that may have run
@@ -61,10 +61,11 @@
 {
     std::string ownName;
     std::string service;
+    /// All possible owners; each key is owned by one of them.
     std::vector<OwnerCandidate> members;
     /// The names of `members`.
     std::vector<std::string> names;
-    std::vector<FormerOwners> former;
+    std::vector<FormerCandidates> former;
     /// Whether a version has been set.
     bool begun = false;
 };
--- a/Source/Request/OrganisationLimits.h
+++ b/Source/Request/OrganisationLimits.h
@@ -64,8 +64,8 @@
     std::map<std::string, OrganisationUse> uses;
     std::uint64_t configVersion = 0;
     /// Names of the organisations in use, which budgetCalls() iterates over. With thousands
-    /// declared, most are idle, and iterating over all of them many times a second takes an entry
-    /// 1% of a core.
+    /// declared, most are idle, and iterating over all of them many times a second is
+    /// expensive.
     std::vector<std::string> active;
 };
 
--- a/Source/Request/RetryAfterPolicy.h
+++ b/Source/Request/RetryAfterPolicy.h
@@ -12,8 +12,10 @@
 struct RetryAfterPolicy
 {
     /// All slots are busy and the service makes progress: about the time until a slot becomes free.
+    /// Also the lower bound when `BackendChoice::retryAt` is known.
     milliseconds busy{400};
-    /// In all other cases: a restart, or a group that re-forms or is held, takes seconds.
+    /// In all other cases without a known `BackendChoice::retryAt`: a restart or a closed group,
+    /// for example, takes seconds.
     milliseconds stalled{1200};
     /// Upper bound of the random addition to `stalled`, or to the time until
     /// `BackendChoice::retryAt`.
--- a/Source/Request/Route.cpp
+++ b/Source/Request/Route.cpp
@@ -82,7 +82,8 @@
 {
     if (!candidate.silentSince)
         return false;
-    const microseconds silenceLimit = stalledAfter + candidate.serviceTime * stalledServiceTimes;
+    const microseconds silenceLimit =
+        serverStalledAfter + candidate.serviceTime * stalledServiceTimes;
     return now - *candidate.silentSince > silenceLimit;
 }
 
@@ -90,7 +91,7 @@
 
 bool isAvailable(const Candidate &candidate)
 {
-    return !candidate.leaving && !candidate.vmLeaving && !candidate.down;
+    return !candidate.draining && !candidate.vmLeaving && !candidate.down;
 }
 
 bool isEligible(const Candidate &candidate, TimePoint now)
--- a/Source/Request/Route.h
+++ b/Source/Request/Route.h
@@ -27,9 +27,9 @@
     std::uint32_t outstanding = 0;
     /// Requests sent since the last load report, which may not include them.
     std::uint32_t sentSinceReport = 0;
-    bool leaving = false;
+    bool draining = false;
     bool down = false;
-    /// The platform lists its VM as leaving or no longer lists it. Separate from `leaving`, which
+    /// The platform lists its VM as leaving or no longer lists it. Separate from `draining`, which
     /// the agent's reports set and clear.
     bool vmLeaving = false;
     /// When `down` last changed to true.
@@ -46,6 +46,7 @@
 struct RouteQuery
 {
     std::string requestId;
+    /// The largest number is served first; the gateway's scale is the reverse.
     std::uint32_t priority = 0;
     std::uint64_t prefix = 0;
     /// Failure domain of the entry.
@@ -61,7 +62,7 @@
 constexpr milliseconds maxEjection{16'000};
 /// A backend server counts as stalled if it is silent for longer than this plus several service
 /// times.
-constexpr milliseconds stalledAfter{1'000};
+constexpr milliseconds serverStalledAfter{1'000};
 constexpr int stalledServiceTimes = 8;
 /// Ratio to the average load above which a server is skipped for prefix affinity (rendezvous
 /// hashing with bounded loads).
--- a/Source/Request/RoutingView.cpp
+++ b/Source/Request/RoutingView.cpp
@@ -181,7 +181,7 @@
     candidate.running = load.running();
     candidate.queued = load.queued();
     candidate.serviceTime = microseconds(load.service_time_us());
-    candidate.leaving = load.leaving();
+    candidate.draining = load.leaving();
     setDown(candidate, load.backend_down(), now);
     candidate.sentSinceReport = 0;
 }
--- a/Source/Request/ServerLimit.cpp
+++ b/Source/Request/ServerLimit.cpp
@@ -114,8 +114,8 @@
 std::size_t activeLimitCount(const ServerLimits &limits)
 {
     return static_cast<std::size_t>(
-        std::count_if(limits.begin(), limits.end(), [](const auto &entry) {
-            return entry.second.advertised.perSecond.has_value();
+        std::count_if(limits.begin(), limits.end(), [](const auto &item) {
+            return item.second.advertised.perSecond.has_value();
         }));
 }
 
@@ -184,7 +184,7 @@
 void removeExpiredLimits(OwnedLimits &owned, TimePoint now)
 {
     std::erase_if(owned,
-                  [now](const auto &entry) { return isExpired(entry.second.advertised, now); });
+                  [now](const auto &item) { return isExpired(item.second.advertised, now); });
 }
 
 } // namespace wisteria
--- a/Tests/Gateway/CodecTest.cpp
+++ b/Tests/Gateway/CodecTest.cpp
@@ -185,7 +185,7 @@
                       {"Connection", "X-Hop"},
                       {"X-Hop", "1"},
                       {"X-Kept", "2"}};
-    const CallerRequest decoded = decodeCallerRequest(request).value();
+    const GatewayRequest decoded = decodeCallerRequest(request).value();
     REQUIRE(decoded.host == "h");
     REQUIRE(decoded.path() == "/x");
     REQUIRE(decoded.apiKey == "k");
--- a/Tests/Gateway/DecisionsTest.cpp
+++ b/Tests/Gateway/DecisionsTest.cpp
@@ -108,7 +108,7 @@
 }
 
 // Guards against the retries of all gateways exceeding the quota when the base retries are divided
-// by a fixed number of ten gateways.
+// by fewer gateways than there are.
 TEST_CASE("The retries of any number of gateways stay within the quota of a window")
 {
     const int gateways = GENERATE(5, 13, 36);
@@ -330,8 +330,8 @@
 }
 
 // Guards against requests refused twice and lost after a power loss of all VMs. The gateways are
-// back 0.7 s before the group is formed; with a Retry-After of 1.2 to 2.2 s for all callers, many
-// retry while the group is still closed or full.
+// back before the group is formed; if all callers are refused at once, many retry while the group
+// is still closed or full.
 TEST_CASE("A request waits for a group that is forming, within its caller's time limit")
 {
     const AdmissionTimeouts timeouts;
@@ -476,21 +476,21 @@
     REQUIRE(shareOfFreeSlots(7, 0, 0.5) == 7);
 }
 
-// Guards against needless store calls, the second largest cost of a fleet of 36 gateways that read
-// the list of servers every 0.9 s and the configuration every 1.5 s where twice the interval is
-// allowed. The platform's bounds must also hold when one answer is lost.
+// Guards against needless store calls, which are expensive with many gateways: reading the list of
+// servers and the configuration much more often than the platform's bounds require. The platform's
+// bounds must also hold when one answer is lost.
 TEST_CASE("The store is polled within the platform's bounds, and not many times as often")
 {
     for (const milliseconds bound : {milliseconds(2000), milliseconds(4000), milliseconds(8000)}) {
         const milliseconds lostAnswer = storeAnswerTimeout + storeInitialBackoff;
         REQUIRE(backendsPollInterval(bound) + lostAnswer < bound);
         REQUIRE(backendsPollInterval(bound) * 3 > bound);
-        REQUIRE(configurationWait(bound) * 2 > bound);
+        REQUIRE(configurationLongPollTime(bound) * 2 > bound);
     }
     // At 2000 ms a read of the configuration may outlast the bound, but not by a second: a VM whose
     // connections were cut counts as healthy again only a second after the bound.
-    REQUIRE(configurationWait(milliseconds(2000)) + storeAnswerTimeout + storeInitialBackoff
+    REQUIRE(configurationLongPollTime(milliseconds(2000)) + storeAnswerTimeout + storeInitialBackoff
             < milliseconds(3000));
-    REQUIRE(configurationWait(milliseconds(4000)) + storeAnswerTimeout + storeInitialBackoff
+    REQUIRE(configurationLongPollTime(milliseconds(4000)) + storeAnswerTimeout + storeInitialBackoff
             < milliseconds(4000));
 }
--- a/Tests/Request/AtMostOnceTest.cpp
+++ b/Tests/Request/AtMostOnceTest.cpp
@@ -19,7 +19,7 @@
         : world({.agents = 1, .guards = guards}), admission(world.agents[0].admission)
     { }
 
-    v1::RunHead head(const CallerRequest &request, std::uint32_t callerAttempt)
+    v1::RunHead head(const CallerRequest &request, std::uint32_t callerTry)
     {
         v1::RunHead head;
         head.set_request_id(request.id);
@@ -28,7 +28,7 @@
         head.set_organisation(request.organisation);
         head.set_remaining_ms(600);
         head.set_key(request.key);
-        head.set_caller_attempt(callerAttempt);
+        head.set_caller_attempt(callerTry);
         head.set_fingerprint(request.fingerprint);
         return head;
     }
@@ -58,7 +58,7 @@
 
 } // namespace
 
-// Failure: a caller gets "not run" and orders again elsewhere, but then the first order runs too.
+// Guards against an order that runs although its caller got "not run" and ordered again elsewhere.
 // Try 1 is delayed in a slow entry. Try 2 reaches the owner while its backend server is down and is
 // refused as not run. After the backend server returns, try 1 arrives, and an owner that did not
 // record the refusal would run it.
@@ -79,9 +79,9 @@
     }
 }
 
-// Failure: a caller gets the answer of a different request under the same key. Keys are chosen by
-// callers, so a key may collide or be reused with another body or by another organisation while the
-// answer of the first request is stored.
+// Guards against a caller that gets the answer of a different request under the same key. Keys are
+// chosen by callers, so a key may collide or be reused with another body or by another organisation
+// while the answer of the first request is stored.
 TEST_CASE("A stored answer is replayed only for the same request of the same organisation")
 {
     SingleOwner owner;
@@ -111,8 +111,8 @@
     CHECK(owner.refused(owner.head(order, 2)).kind() == v1::VERDICT_KIND_ALREADY_RUN);
 }
 
-// Failure: an order runs twice although its key was recorded. The memory of keys is bounded, so
-// later keys evict it before the caller repeats the order.
+// Guards against an order that runs twice although its key was recorded. The memory of keys is
+// bounded, so later keys evict it before the caller repeats the order.
 TEST_CASE("An evicted key never runs again")
 {
     SingleOwner owner;
@@ -127,8 +127,8 @@
     CHECK(owner.refused(owner.head(first, 2)).reason() == v1::REASON_KEY_TOO_OLD);
 }
 
-// Failure: an agent's memory grows without bound. Refused tries and the order of answers are
-// recorded too, for keys older or newer than all others and for keys with tiny answers.
+// Guards against an agent's memory that grows without bound. Refused tries and the order of answers
+// are recorded too, for keys older or newer than all others and for keys with tiny answers.
 TEST_CASE("The memory of keys stays within its bound for every kind of key")
 {
     SingleOwner owner;
@@ -161,8 +161,8 @@
     CHECK(owner.admission.keys.answerBytes > maxStoredBytes - maxStoredAnswerBytes);
 }
 
-// Failure: a request runs twice after an agent restarted. The caller's clock is fast, so its key
-// looks newer than the agent's start when the caller repeats it after the restart.
+// Guards against a request that runs twice after an agent restarted. The caller's clock is fast, so
+// its key looks newer than the agent's start when the caller repeats it after the restart.
 TEST_CASE("A key ahead of the owner's clock is not run")
 {
     SingleOwner owner;
@@ -175,9 +175,10 @@
     CHECK(std::holds_alternative<StartBackend>(owner.arrive(owner.head(door, 2))));
 }
 
-// Failure: an order runs twice although its owner sees the same set of servers as before. While the
-// owner is frozen, a server joins, owns the key, runs it and is removed. The owner then reads both
-// changes at once and gets the caller's repeat; the version in between was never in force there.
+// Guards against an order that runs twice although its owner sees the same set of servers as
+// before. While the owner is frozen, a server joins, owns the key, runs it and is removed. The
+// owner then reads both changes at once and gets the caller's repeat; the version in between was
+// never in force there.
 TEST_CASE("An owner that missed a version does not run keys that may have run elsewhere meanwhile")
 {
     for (const int versions : {1, 2}) {
@@ -196,8 +197,9 @@
     }
 }
 
-// Failure: a non-idempotent request runs twice because the entry retries it. The connection breaks
-// after the request was sent, so it is not known whether it ran, and the retry budget allows more.
+// Guards against a non-idempotent request that runs twice because the entry retries it. The
+// connection breaks after the request was sent, so it is not known whether it ran, and the retry
+// budget allows more.
 TEST_CASE("A non-idempotent request that may have reached its owner is not sent again")
 {
     for (const bool idempotent : {true, false}) {
--- a/Tests/Request/LimitsAndEndsTest.cpp
+++ b/Tests/Request/LimitsAndEndsTest.cpp
@@ -60,8 +60,8 @@
 
 } // namespace
 
-// Failure: a retry storm. Every agent refuses because of overload and every entry retries as often
-// as it may, so that each request becomes three and retries multiply the overload.
+// Guards against a retry storm. Every agent refuses because of overload and every entry retries as
+// often as it may, so that each request becomes three and retries multiply the overload.
 TEST_CASE("Retries without successes stop when their budget is spent")
 {
     OneEntry entry;
@@ -127,7 +127,7 @@
         observeLoad(state, name, load, 1, world.now);
     setEntries(state, *world.entries[1].shared, {"entry-0", "entry-1", "entry-2"}, world.now);
     for (const Candidate &candidate : state.services.at(serviceName).candidates)
-        CHECK(candidate.leaving);
+        CHECK(candidate.draining);
     setEntries(state, *world.entries[1].shared, {"entry-0", "entry-00", "entry-1"}, world.now);
     CHECK(heartbeatTargets(state) != before);
     setEntries(state, *world.entries[1].shared, {"entry-0", "entry-1"}, world.now);
@@ -161,8 +161,9 @@
     CHECK(started(end(4)).stream == 6);
 }
 
-// Failure: each new caller waits until its deadline at a stalled backend server, although its agent
-// could detect the stall: the process accepts requests, but does not answer its health check.
+// Guards against new callers that each wait until their deadline at a stalled backend server,
+// although its agent could detect the stall: the process accepts requests, but does not answer its
+// health check.
 TEST_CASE("An agent with a stalled backend server refuses new work at once and reports it as down")
 {
     RequestWorld world({.agents = 1});
@@ -177,8 +178,8 @@
           == 2);
 }
 
-// Failure: a planned shutdown cuts a running request. SIGTERM arrives while one request runs and
-// another is queued, and a process that does not wait for running requests ends.
+// Guards against a planned shutdown that cuts a running request. SIGTERM arrives while one request
+// runs and another is queued, and a process that does not wait for running requests ends.
 TEST_CASE("A draining agent refuses queued and new attempts as not run, and completes running ones")
 {
     RequestWorld world({.agents = 1});
@@ -195,8 +196,9 @@
     CHECK(idle(admission));
 }
 
-// Failure: many callers wait until their deadline because one backend server accepts requests and
-// never answers, or because its agent is frozen. The connections of a stalled process stay open.
+// Guards against many callers that wait until their deadline because one backend server accepts
+// requests and never answers, or because its agent is frozen. The connections of a stalled process
+// stay open.
 TEST_CASE("With a stalled backend server or agent fewer than 1% of callers get no answer")
 {
     for (const bool agentFrozen : {false, true}) {
--- a/Tests/Request/OrganisationLimitsTest.cpp
+++ b/Tests/Request/OrganisationLimitsTest.cpp
@@ -93,9 +93,9 @@
 
 } // namespace
 
-// Failure: an organisation with a limit of 100 requests a second gets 1,000 through several
-// entries. Its callers send far more than the limit through every entry, each entry counts only its
-// own requests, and the owner of the budget dies and returns.
+// Guards against an organisation with a limit of 100 requests a second that gets 1,000 through
+// several entries. Its callers send far more than the limit through every entry, each entry counts
+// only its own requests, and the owner of the budget dies and returns.
 TEST_CASE("An organisation's limits hold over all entries, also without the budget's owner")
 {
     for (const int entryCount : {1, 2, 4, 12}) {
@@ -131,8 +131,8 @@
     CHECK(each > 66);
 }
 
-// Failure: an organisation gets twice its limit when an entry is added. Grants of the former owner
-// are still valid, and the new owner, which does not know them, grants at once.
+// Guards against an organisation that gets twice its limit when an entry is added. Grants of the
+// former owner are still valid, and the new owner, which does not know them, grants at once.
 TEST_CASE("A new owner grants nothing until the grants of the former owner have expired")
 {
     Fleet fleet(2);
@@ -159,9 +159,10 @@
     CHECK(refusal->retryAfter >= milliseconds(10));
 }
 
-// Failure: an organisation far below its limit is refused when several of its callers send at once.
-// After little traffic the entries hold small grants, about twice the last demand, and an entry
-// that admits nothing beyond its grant refuses requests that burst and concurrency allow.
+// Guards against an organisation far below its limit that is refused when several of its callers
+// send at once. After little traffic the entries hold small grants, about twice the last demand,
+// and an entry that admits nothing beyond its grant refuses requests that burst and concurrency
+// allow.
 TEST_CASE("A sudden rise of the request rate within burst and concurrency is not refused")
 {
     Fleet fleet(2);
@@ -173,8 +174,9 @@
     CHECK(fleet.refused == 0);
 }
 
-// Failure: an organisation that is removed and declared again gets only its static share for ever,
-// because its name is still on the list of active ones when the new one gets its first request.
+// Guards against an organisation that gets only its static share for ever after it is removed and
+// declared again, because its name is still on the list of active ones when the new one gets its
+// first request.
 TEST_CASE("Grants are requested again for an organisation that was idle, removed and redeclared")
 {
     Fleet fleet(1);
--- a/Tests/Request/PoisonRequestsTest.cpp
+++ b/Tests/Request/PoisonRequestsTest.cpp
@@ -21,7 +21,7 @@
 {
     int deaths = 0;
     int otherRequests = 0;
-    int refused = 0;
+    int unanswered = 0;
 };
 
 /// Sends harmless requests to sixteen backend servers, while a caller keeps sending a request that
@@ -43,7 +43,7 @@
             ++outcome.otherRequests;
             world.submit(static_cast<int>(number % 2), request, false,
                          [&outcome](CallResult result) {
-                             outcome.refused += result == CallResult::Answer ? 0 : 1;
+                             outcome.unanswered += result == CallResult::Answer ? 0 : 1;
                          });
         });
     }
@@ -71,29 +71,29 @@
 {
     constexpr int runs = 10;
     int mostDeaths = 0;
-    int refused = 0;
+    int unanswered = 0;
     int otherRequests = 0;
     for (int run = 0; run < runs; ++run) {
         const Outcome outcome = runPoisonRequest(pattern, true, milliseconds(1000 + 7 * run));
         mostDeaths = std::max(mostDeaths, outcome.deaths);
-        refused += outcome.refused;
+        unanswered += outcome.unanswered;
         otherRequests += outcome.otherRequests;
         CHECK(outcome.deaths >= 1);
         CHECK(outcome.deaths <= 3);
     }
-    const int refusedAnyway = runPoisonRequest(pattern, false, milliseconds(1000)).refused;
+    const int unansweredAnyway = runPoisonRequest(pattern, false, milliseconds(1000)).unanswered;
     std::cout << name << ": at most " << mostDeaths << " backend servers taken down in " << runs
-              << " runs; " << refused << " of " << otherRequests
-              << " other requests without an answer (" << refusedAnyway
+              << " runs; " << unanswered << " of " << otherRequests
+              << " other requests without an answer (" << unansweredAnyway
               << " in a run without the poison request)\n";
-    CHECK(refused * 100 < otherRequests);
+    CHECK(unanswered * 100 < otherRequests);
 }
 
 } // namespace
 
-// Failure: one request crashes one backend server after the other, and other callers get no
-// answers. Its caller, the entries' retries and other entries keep sending it, and the request that
-// caused a death can't be distinguished from those that were only in flight.
+// Guards against one request that crashes one backend server after the other, so that other callers
+// get no answers. Its caller, the entries' retries and other entries keep sending it, and the
+// request that caused a death can't be distinguished from those that were only in flight.
 TEST_CASE("A poison request through alternating entries crashes at most three backend servers")
 {
     checkPoisonRequest(ResendPattern::AlternatingEntries, "one caller, alternating entries");
@@ -109,8 +109,8 @@
     checkPoisonRequest(ResendPattern::NewKeys, "non-idempotent, a new key each time");
 }
 
-// Failure: a quarantine expires while the caller still repeats the poison request every minute, and
-// the request crashes another backend server. A quarantine lasts for a limited time.
+// Guards against a quarantine that expires while the caller still repeats the poison request every
+// minute, and the request crashes another backend server. A quarantine lasts for a limited time.
 TEST_CASE("A quarantine holds as long as the request is repeated, and expires afterwards")
 {
     const TimePoint start{seconds(1000)};
--- a/Tests/Request/RequestWorld.cpp
+++ b/Tests/Request/RequestWorld.cpp
@@ -274,7 +274,7 @@
     case Fault::CallerRepeats: {
         CallerRequest repeat = calls[call]->request;
         repeat.id = "request-" + std::to_string(++lastId_);
-        ++repeat.callerAttempt;
+        ++repeat.callerTry;
         const int other = (calls[call]->entry + 1) % options_.entries;
         after(hopDelay, [=, this] { callWithRetries(repeat, other, false); });
         return false;
--- a/Tests/Request/RequestWorldCallers.cpp
+++ b/Tests/Request/RequestWorldCallers.cpp
@@ -32,7 +32,7 @@
     request.service = serviceName;
     request.organisation = "org";
     request.fingerprint = pairHash(serviceName, content);
-    request.callerAttempt = 1;
+    request.callerTry = 1;
     return request;
 }
 
@@ -124,7 +124,7 @@
             return;
         CallerRequest next = request;
         next.id = "request-" + std::to_string(++lastId_);
-        ++next.callerAttempt;
+        ++next.callerTry;
         const int other = (entry + 1) % options_.entries;
         after(repeatAfter, [=, this] { callWithRetries(next, other, faultsApply, triesLeft - 1); });
     };
@@ -209,7 +209,7 @@
     ended.reason = reason;
     if (result == CallResult::NotRun)
         notRunReported_[identityOf(ended.request)] =
-            std::max(notRunReported_[identityOf(ended.request)], ended.request.callerAttempt);
+            std::max(notRunReported_[identityOf(ended.request)], ended.request.callerTry);
     const std::string expected = "answer to " + std::to_string(ended.request.fingerprint);
     if (result == CallResult::Answer && ended.body != expected)
         seenViolations_.push_back("a caller got '" + ended.body + "'");
--- a/Tests/Request/RouteTest.cpp
+++ b/Tests/Request/RouteTest.cpp
@@ -43,7 +43,7 @@
     candidates[0].running = 1;
     candidates[1].name = "b";
     candidates[2].name = "c";
-    candidates[2].leaving = true;
+    candidates[2].draining = true;
     CHECK(chooseBackendServer(candidates, loadOnly(), queryTrying({}), start) == 1);
     CHECK(chooseBackendServer(candidates, loadOnly(), queryTrying({"b"}), start) == 0);
     CHECK(chooseBackendServer(candidates, loadOnly(), queryTrying({"a", "b"}), start)
@@ -87,9 +87,9 @@
     CHECK(chooseBackendServer(domains, policy, query, start) == 1);
 }
 
-// Failure: callers wait until their deadline at a backend server that accepts requests and never
-// answers. A stalled process keeps its connections open, so consecutive attempts time out until it
-// recovers.
+// Guards against callers that wait until their deadline at a backend server that accepts requests
+// and never answers. A stalled process keeps its connections open, so consecutive attempts time out
+// until it recovers.
 TEST_CASE("A backend server that fails twice is ejected, probed by one attempt and used again")
 {
     Candidate candidate;
@@ -123,8 +123,8 @@
     CHECK(isEligible(candidate, start + seconds(12)));
 }
 
-// Failure: a caller is refused although no backend server has failed. Each of them runs one long
-// request and is silent meanwhile, which an entry can't distinguish from a stall.
+// Guards against a caller that is refused although no backend server has failed. Each of them runs
+// one long request and is silent meanwhile, which an entry can't distinguish from a stall.
 TEST_CASE("When all backend servers are silent, the least loaded one is used nevertheless")
 {
     auto candidates = named({"a", "b", "c"});
--- a/Tests/Request/VmRoutingTest.cpp
+++ b/Tests/Request/VmRoutingTest.cpp
@@ -4,8 +4,9 @@
 
 using namespace wisteria;
 
-// Failure: a caller waits for a backend server whose VM is being removed. The platform lists the VM
-// as leaving, but the next heartbeat of its agent, which is not informed yet, clears that state.
+// Guards against a caller that waits for a backend server whose VM is being removed. The platform
+// lists the VM as leaving, but the next heartbeat of its agent, which is not informed yet, clears
+// that state.
 TEST_CASE("A backend server on a leaving VM gets no requests, whatever its agent reports")
 {
     EntryState state;
