--- a/Source/Connection/CallerServer.cpp
+++ b/Source/Connection/CallerServer.cpp
@@ -20,7 +20,7 @@
 
 constexpr int listenBacklog = 1024;
 constexpr std::size_t streamBlockBytes = 16 * 1024;
-/// callerDrained() is called when the queue of a streamed answer shrinks from more than this size
+/// callerCaughtUp() is called when the queue of a streamed answer shrinks from more than this size
 /// to at most this size.
 constexpr std::size_t lowWatermarkBytes = 16 * 1024;
 /// Interval of the check for idle connections.
@@ -178,7 +178,7 @@
             aboveLowWatermark_ = false;
             Private *server = server_;
             server->loop_.defer([server, exchange = shared_from_this()] {
-                server->service_.callerDrained(*exchange);
+                server->service_.callerCaughtUp(*exchange);
             });
         }
 
@@ -197,7 +197,7 @@
         bool aboveLowWatermark_ = false;
     };
 
-    Private(EventLoop &loop, CallerService &service, CallerLimits limits)
+    Private(EventLoop &loop, CallerService &service, CallerServerLimits limits)
         : loop_(loop), service_(service), limits_(limits)
     { }
 
@@ -373,7 +373,7 @@
 
     EventLoop &loop_;
     CallerService &service_;
-    CallerLimits limits_;
+    CallerServerLimits limits_;
     MHD_Daemon *daemon_ = nullptr;
     int epoll_ = -1;
     bool runScheduled_ = false;
@@ -383,7 +383,7 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-CallerServer::CallerServer(EventLoop &loop, CallerService &service, CallerLimits limits)
+CallerServer::CallerServer(EventLoop &loop, CallerService &service, CallerServerLimits limits)
     : private_(std::make_unique<Private>(loop, service, limits))
 { }
 
--- a/Source/Programs/Gateway/Exchange.h
+++ b/Source/Programs/Gateway/Exchange.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "Programs/Gateway/GatewayContext.h"
-#include "Request/CallerRequest.h"
 #include "Request/EventSplitter.h"
+#include "Request/GatewayRequest.h"
 #include "Request/RetryDecision.h"
 
 namespace wisteria {
@@ -31,14 +31,15 @@
     virtual std::size_t queuedBytes() const = 0;
 };
 
-/// One attempt of a caller, from its arrival to its answer: it waits for a slot, is sent to a
-/// backend server, is retried where that is allowed, and is answered. Destroying it cancels a send
-/// in progress.
+/// One HTTP request of a caller (an attempt, as callers count), from its arrival to its answer: it
+/// waits for a slot, is sent to a backend server, is retried where that is allowed, and is
+/// answered. The entry names differently: there, an attempt is one send to a backend server.
+/// Destroying an exchange cancels a send in progress.
 class Exchange
 {
 public:
     /// @param arrived When the request arrived; it may have waited for a configuration since then.
-    Exchange(GatewayContext &context, AnswerSink &sink, CallerRequest request, Access access,
+    Exchange(GatewayContext &context, AnswerSink &sink, GatewayRequest request, Access access,
              std::string service, TimePoint arrived);
     ~Exchange();
     Exchange(const Exchange &) = delete;
@@ -89,7 +90,7 @@
 
     GatewayContext &context_;
     AnswerSink &sink_;
-    CallerRequest request_;
+    GatewayRequest request_;
     /// Keeps the route of the request alive when a new configuration replaces it.
     std::shared_ptr<const RouteTable> routes_;
     const RouteRule &route_;
--- a/Source/Programs/Gateway/Session.cpp
+++ b/Source/Programs/Gateway/Session.cpp
@@ -75,7 +75,7 @@
         waitForConfiguration(std::move(decoded.value()), now);
 }
 
-void Session::waitForConfiguration(CallerRequest request, TimePoint now)
+void Session::waitForConfiguration(GatewayRequest request, TimePoint now)
 {
     std::optional<TimePoint> deadline;
     if (request.timeLeft)
@@ -96,7 +96,8 @@
         admit(std::move(early.request), early.arrived, now);
         return;
     }
-    // The delay of the store is unknown, so Retry-After is that of a stalled service.
+    // It is unknown when the store answers, so Retry-After is the longer one, as for a service that
+    // has no available backend server.
     const milliseconds retryAfter =
         retryAfterFor(context_.retryAfterPolicy, NoBackendReason::NoneAvailable, milliseconds(0),
                       context_.randomUnit());
@@ -104,7 +105,7 @@
                           "no configuration is known yet");
 }
 
-void Session::admit(CallerRequest request, TimePoint arrived, TimePoint now)
+void Session::admit(GatewayRequest request, TimePoint arrived, TimePoint now)
 {
     const std::string id = request.attemptId;
     const Access access = accessOf(*context_.routes, request.host, request.path(),
